--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -11,7 +11,7 @@
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.serving.dialect import PieceFailure, PieceResult
-from cactusdyke.serving.dispatch_messages import StageMade
+from cactusdyke.serving.dispatch_messages import StageOutcome
 from cactusdyke.serving.maker_reports import MakerReports
 from cactusdyke.serving.stage_queue import Batch, PieceGroup, StageQueue
 from cactusdyke.transport.exchange import ExchangeError
@@ -24,8 +24,8 @@
     from cactusdyke.clock import Clock
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
-    from cactusdyke.serving.holdings import HeldResult
     from cactusdyke.serving.model import BatchSpec, Replica
+    from cactusdyke.serving.resource_tracker import HeldResult
     from cactusdyke.transport.exchange import BackendConnections
 
 FreeInputs: TypeAlias = "Callable[[str, Sequence[str]], bool]"
@@ -107,7 +107,7 @@
 
     async def run(
         self, group: PieceGroup, *, may_refuse: bool
-    ) -> Result[StageMade, Failure]:
+    ) -> Result[StageOutcome, Failure]:
         """Makes the results of a group."""
         group.queued_at = self._clock.now()
         if may_refuse:
@@ -179,7 +179,7 @@
             retry_after_ms=self._come_back_ms(),
         )
 
-    def _outcome(self, group: PieceGroup) -> Result[StageMade, Failure]:
+    def _outcome(self, group: PieceGroup) -> Result[StageOutcome, Failure]:
         failures = [
             task.result.failure
             for task in group.tasks
@@ -189,7 +189,7 @@
             self._log_given_up(group, str(failures[0]))
         if set(failures) <= {PieceFailure.INPUT_GONE}:
             return Ok(
-                StageMade(
+                StageOutcome(
                     handles=tuple(
                         t.result.handle for t in group.tasks if t.result
                     ),
--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -7,11 +7,11 @@
 from cactusdyke.serving.attempt import Attempts
 from cactusdyke.serving.connection_share import ConnectionShare
 from cactusdyke.serving.decider import Decider
+from cactusdyke.serving.decider_directory import DeciderDirectory
 from cactusdyke.serving.decider_interface import DeciderInterface
-from cactusdyke.serving.deciders import Deciders
 from cactusdyke.serving.dispatch import (
-    NOTES_PATH,
-    PLACE_PATH,
+    NOTIFICATIONS_PATH,
+    PLACEMENT_PATH,
     STAGE_PATH,
     Dispatch,
 )
@@ -75,7 +75,7 @@
             connections=connections,
             tracing=tracing,
         )
-        self._deciders = Deciders(
+        self._deciders = DeciderDirectory(
             clock=clock, daemons=daemons, watch=self._watch
         )
         self._interface = DeciderInterface(
@@ -152,11 +152,11 @@
     @property
     def decides(self) -> frozenset[int]:
         """Marks of the services that this daemon says it decides for."""
-        return self._dispatch.decides
+        return self._dispatch.decided_hashes
 
     def decider_of(self, service: str) -> str:
         """Returns the name of the daemon that decides, as seen from here."""
-        return self._deciders.by_members(service).name
+        return self._deciders.decider_by_membership(service).name
 
     @property
     def services(self) -> dict[str, Service]:
@@ -174,8 +174,8 @@
         """What other daemons call, as (method, path, handler)."""
         return [
             ("POST", STAGE_PATH, self._interface.handle_stage),
-            ("POST", PLACE_PATH, self._interface.handle_place),
-            ("POST", NOTES_PATH, self._interface.handle_notes),
+            ("POST", PLACEMENT_PATH, self._interface.handle_placement),
+            ("POST", NOTIFICATIONS_PATH, self._interface.handle_notifications),
             ("GET", ALIVE_PATH, self._watch.handle),
             ("POST", CRASHES_PATH, self._quarantine.handle),
         ]
--- a/cactusdyke/serving/decided.py
+++ b/cactusdyke/serving/decided_services.py
@@ -10,9 +10,9 @@
     from collections.abc import Iterable
 
     from cactusdyke.clock import Clock, Instant
-    from cactusdyke.serving.deciders import Deciders
+    from cactusdyke.serving.decider_directory import DeciderDirectory
 
-TELL_AFTER_MS = 1_000.0
+ANNOUNCE_DELAY_MS = 1_000.0
 """By then gossip has told everyone of a daemon that comes or leaves."""
 
 
@@ -25,14 +25,14 @@
     and forth for two seconds.
     """
 
-    def __init__(self, *, clock: Clock, deciders: Deciders) -> None:
+    def __init__(self, *, clock: Clock, deciders: DeciderDirectory) -> None:
         self._clock = clock
         self._deciders = deciders
         self._since: dict[str, Instant] = {}
         self._marks: frozenset[int] = frozenset()
 
     @property
-    def marks(self) -> frozenset[int]:
+    def service_hashes(self) -> frozenset[int]:
         """Marks of the services, as they are told."""
         return self._marks
 
@@ -46,12 +46,12 @@
         self._since = {
             name: self._since.get(name, now)
             for name in services
-            if self._deciders.by_members(name).own
+            if self._deciders.decider_by_membership(name).own
         }
         before = self._marks
         self._marks = frozenset(
             mark_of(name)
             for name, since in self._since.items()
-            if now - since >= TELL_AFTER_MS
+            if now - since >= ANNOUNCE_DELAY_MS
         )
         return self._marks != before
--- a/cactusdyke/serving/decider.py
+++ b/cactusdyke/serving/decider.py
@@ -25,18 +25,18 @@
     from cactusdyke.serving.batcher import FreeInputs
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
-    from cactusdyke.serving.dispatch_messages import StageMade, StageWork
-    from cactusdyke.serving.holdings import Briefing
+    from cactusdyke.serving.dispatch_messages import StageOutcome, StageWork
     from cactusdyke.serving.model import Replica
     from cactusdyke.serving.request import Generation
+    from cactusdyke.serving.resource_tracker import ResourceSnapshot
     from cactusdyke.transport.exchange import BackendConnections
 
 
-SCARCE_SHARE = 0.02
+LARGE_INPUT_SHARE = 0.02
 """Of a maker's memory: fifty requests that hold as much fill it."""
-DECIDED_MS = 5_000.0
+ACTIVE_SERVICE_MS = 5_000.0
 """A service that nothing was asked of for so long has no queue to lose."""
-DRAIN_LOOK_MS = 50.0
+DRAIN_CHECK_INTERVAL_MS = 50.0
 
 
 @attrs.define(kw_only=True)
@@ -69,20 +69,20 @@
         self._groups: dict[str, _Group] = {}
         self._used_at: dict[str, Instant] = {}
         self._tasks: TaskGroup | None = None
-        self._free_inputs: FreeInputs = _keep
+        self._free_inputs: FreeInputs = _free_nothing
 
-    def free_inputs_by(self, free: FreeInputs) -> None:
+    def set_free_inputs(self, free: FreeInputs) -> None:
         """Has inputs freed by `free`, which may reach another decider."""
         self._free_inputs = free
 
     @property
-    def decided(self) -> list[str]:
+    def active_services(self) -> list[str]:
         """The services that were lately decided for here."""
         now = self._clock.now()
         return [
             service
             for service, at in self._used_at.items()
-            if now - at < DECIDED_MS
+            if now - at < ACTIVE_SERVICE_MS
         ]
 
     async def run(self) -> None:
@@ -97,11 +97,11 @@
         Other daemons wait for theirs, and would have them made once more.
         """
         while self._groups:
-            await self._clock.sleep(DRAIN_LOOK_MS)
+            await self._clock.sleep(DRAIN_CHECK_INTERVAL_MS)
 
-    async def make_work(
+    async def compute_work(
         self, work: StageWork, *, pinned: bool
-    ) -> Result[StageMade, Failure] | None:
+    ) -> Result[StageOutcome, Failure] | None:
         """Makes the results of work; None if it has to be made elsewhere.
 
         Args:
@@ -110,14 +110,14 @@
         """
         now = self._clock.now()
         group = PieceGroup(
-            needed_by=now + work.needed_in_ms,
-            ends_at=now + work.ends_in_ms,
+            needed_by=now + work.objective_in_ms,
+            ends_at=now + work.deadline_in_ms,
             priority=work.priority,
             result_bytes=work.result_bytes,
             data_centre=work.data_centre,
-            moved_bytes=work.moved_bytes,
+            moved_bytes=work.transfer_bytes,
             last_use_of=work.last_use_of,
-            begun=work.again,
+            begun=work.repeated,
         )
         group.tasks = [PieceTask(piece=p, group=group) for p in work.pieces]
         group.holds_scarce = self._holds_scarce(work)
@@ -127,7 +127,7 @@
             service=work.service,
             pieces=len(work.pieces),
         ):
-            return await self.make(
+            return await self.compute_group(
                 work.service,
                 work.name,
                 group,
@@ -135,7 +135,7 @@
                 pinned=pinned,
             )
 
-    async def make(
+    async def compute_group(
         self,
         service: str,
         name: str,
@@ -143,13 +143,13 @@
         *,
         may_refuse: bool,
         pinned: bool,
-    ) -> Result[StageMade, Failure] | None:
+    ) -> Result[StageOutcome, Failure] | None:
         """Makes the results of a group; None if it has to be made elsewhere."""
         batcher = self._batcher(service)
         if batcher is None:
             return None
         now = self._clock.now()
-        if now - self._used_at.get(service, -math.inf) > DECIDED_MS:
+        if now - self._used_at.get(service, -math.inf) > ACTIVE_SERVICE_MS:
             batcher.take_over()
         self._used_at[service] = now
         with anyio.CancelScope() as scope:
@@ -175,7 +175,7 @@
             if spec is None or spec.batching is None:
                 continue
             room_bytes = spec.batching.result_room_bytes
-            if work.moved_bytes > SCARCE_SHARE * room_bytes:
+            if work.transfer_bytes > LARGE_INPUT_SHARE * room_bytes:
                 return True
         return False
 
@@ -185,7 +185,7 @@
         if known is not None:
             known.scope.cancel()
 
-    def hand_over(self, decides_here: Callable[[str], bool]) -> None:
+    def handover(self, decides_here: Callable[[str], bool]) -> None:
         """Gives groups back whose service another daemon decides for by now.
 
         Two queues for one service fill their calls by halves, and neither
@@ -241,7 +241,7 @@
             generation, self._deployment.usable(service), spec.engine
         )
 
-    def learn(self, service: str, briefing: Briefing) -> None:
+    def merge_snapshot(self, service: str, briefing: ResourceSnapshot) -> None:
         """Takes what another daemon's requests hold at replicas."""
         configuration = self._deployment.configuration
         spec = configuration.services.get(service) if configuration else None
@@ -254,13 +254,15 @@
         for prompt in briefing.prompts:
             if self._deployment.replica(prompt.replica) is None:
                 continue
-            placer.learn_held(prompt.replica, prompt.generation, spec.engine)
+            placer.record_cached_prompt(
+                prompt.replica, prompt.generation, spec.engine
+            )
             if prompt.placement_id:
-                placer.learn_running(
+                placer.record_running(
                     prompt.placement_id,
                     prompt.replica,
                     prompt.generation,
-                    reading=prompt.reading,
+                    prefilling=prompt.prefilling,
                 )
 
     def data_centre_of(self, handle: str) -> str:
@@ -268,13 +270,15 @@
         address = self._dialect.maker_of(handle)
         return self._deployment.data_centre_at(address)
 
-    def started(self, service: str, placement_id: str) -> None:
+    def record_first_token(self, service: str, placement_id: str) -> None:
         """Notes a placed request's first token."""
-        self._placer(service).started(placement_id)
+        self._placer(service).record_first_token(placement_id)
 
-    def ended(self, service: str, placement_id: str, *, failed: bool) -> None:
+    def record_end(
+        self, service: str, placement_id: str, *, failed: bool
+    ) -> None:
         """Notes that a placed request has left its engine."""
-        self._placer(service).ended(placement_id, failed=failed)
+        self._placer(service).record_end(placement_id, failed=failed)
 
     def _placer(self, service: str) -> EnginePlacer:
         placer = self._placers.get(service)
@@ -303,7 +307,7 @@
         return batcher
 
 
-def _keep(service: str, handles: Sequence[str]) -> bool:
+def _free_nothing(service: str, handles: Sequence[str]) -> bool:
     """Frees nothing early, as long as nobody says how."""
     del service, handles
     return False
--- a/cactusdyke/serving/deciders.py
+++ b/cactusdyke/serving/decider_directory.py
@@ -12,11 +12,11 @@
     from cactusdyke.serving.peer_watch import PeerWatch
     from cactusdyke.serving.peers import PeerDaemons
 
-MOVED_MS = 1_500.0
+REDIRECT_VALID_MS = 1_500.0
 """By then gossip has told everyone of a daemon that leaves or comes."""
 
 
-class Deciders:
+class DeciderDirectory:
     """The members' order for each service, and what deciders said of it.
 
     News that a daemon leaves takes half a second to reach all. Until then
@@ -41,15 +41,15 @@
         """How long ago a daemon last came or left."""
         return self._clock.now() - self._changed_at
 
-    def first(self, service: str) -> PeerDaemon:
+    def decider_of(self, service: str) -> PeerDaemon:
         """Returns the daemon to ask."""
         moved, until = self._moved.get(service, (None, 0.0))
         fresh = self._clock.now() < until
         if moved and fresh and moved.name not in self._watch.silent:
             return moved
-        return self.by_members(service)
+        return self.decider_by_membership(service)
 
-    def by_members(self, service: str) -> PeerDaemon:
+    def decider_by_membership(self, service: str) -> PeerDaemon:
         """Returns the daemon that decides going by the members alone."""
         daemons = self._daemons.all()
         silent = frozenset(self._watch.silent)
@@ -65,18 +65,18 @@
             self._firsts[service] = first
         return first
 
-    def own(self) -> PeerDaemon:
+    def local_daemon(self) -> PeerDaemon:
         """Returns this daemon."""
         return next(d for d in self._daemons.all() if d.own)
 
-    def take_moved(self, service: str, value: Any) -> None:
+    def apply_redirect(self, service: str, value: Any) -> None:
         """Takes the word of a daemon that another one decides.
 
         Raises:
             ValueError, TypeError: The value is of no known form.
         """
         name, address, data_centre = value
-        if name == self.own().name:
+        if name == self.local_daemon().name:
             self._moved.pop(service, None)
             return
         peer = PeerDaemon(
@@ -86,9 +86,9 @@
             data_centre=str(data_centre),
             ready=True,
         )
-        self._moved[service] = (peer, self._clock.now() + MOVED_MS)
+        self._moved[service] = (peer, self._clock.now() + REDIRECT_VALID_MS)
 
 
-def moved_to_wire(peer: PeerDaemon) -> list[str]:
+def encode_redirect(peer: PeerDaemon) -> list[str]:
     """Returns how a daemon is named to one that asked here in its stead."""
     return [peer.name, peer.address, peer.data_centre]
--- a/cactusdyke/serving/decider_interface.py
+++ b/cactusdyke/serving/decider_interface.py
@@ -6,15 +6,15 @@
 
 from result import Err
 
-from cactusdyke.serving.deciders import moved_to_wire
+from cactusdyke.serving.decider_directory import encode_redirect
 from cactusdyke.serving.dispatch_messages import (
-    cancelled,
-    failure_to,
-    generation_from,
-    unreadable,
-    work_from,
+    cancelled_failure,
+    decode_generation,
+    decode_work,
+    encode_failure,
+    malformed_message_failure,
 )
-from cactusdyke.serving.holdings import briefing_from
+from cactusdyke.serving.resource_tracker import decode_snapshot
 from cactusdyke.transport.messages import (
     Request,
     Response,
@@ -24,13 +24,13 @@
 
 if TYPE_CHECKING:
     from cactusdyke.serving.decider import Decider
-    from cactusdyke.serving.deciders import Deciders
+    from cactusdyke.serving.decider_directory import DeciderDirectory
 
 
 class DeciderInterface:
     """The paths on which a decider is asked and told."""
 
-    def __init__(self, *, deciders: Deciders, decider: Decider) -> None:
+    def __init__(self, *, deciders: DeciderDirectory, decider: Decider) -> None:
         self._deciders = deciders
         self._decider = decider
 
@@ -40,31 +40,31 @@
         if isinstance(value, Err):
             return failure_response(value.err_value)
         try:
-            work = work_from(value.ok_value)
+            work = decode_work(value.ok_value)
         except (KeyError, TypeError, ValueError) as error:
-            return failure_response(unreadable(error))
+            return failure_response(malformed_message_failure(error))
         insists = bool(value.ok_value.get("insists"))
         moved = self._moved(work.service)
         if moved and not insists:
             return json_response({"moved": moved})
-        answer = await self._decider.make_work(work, pinned=insists)
+        answer = await self._decider.compute_work(work, pinned=insists)
         if answer is None:
             moved = self._moved(work.service)
             if moved:
                 return json_response({"moved": moved})
-            return failure_response(cancelled(work))
+            return failure_response(cancelled_failure(work))
         backlog = self._decider.backlog(work.service)
         body: dict[str, Any] = {
             "backlog": [round(backlog.hopeful_ms), round(backlog.all_ms)]
         }
         if isinstance(answer, Err):
-            body["failure"] = failure_to(answer.err_value)
+            body["failure"] = encode_failure(answer.err_value)
         else:
             body["handles"] = answer.ok_value.handles
             body["inputs_freed"] = answer.ok_value.inputs_freed
         return json_response(body)
 
-    async def handle_place(self, request: Request) -> Response:
+    async def handle_placement(self, request: Request) -> Response:
         """Chooses an engine for another daemon."""
         value = request.json()
         if isinstance(value, Err):
@@ -74,7 +74,7 @@
         if moved and not body.get("insists"):
             return json_response({"moved": moved})
         try:
-            generation = generation_from(body["generation"])
+            generation = decode_generation(body["generation"])
             if body["id"]:
                 replica = self._decider.place(
                     body["service"],
@@ -86,10 +86,10 @@
             else:
                 replica = self._decider.locate(body["service"], generation)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            return failure_response(unreadable(error))
+            return failure_response(malformed_message_failure(error))
         return json_response({"replica": replica.name if replica else None})
 
-    async def handle_notes(self, request: Request) -> Response:
+    async def handle_notifications(self, request: Request) -> Response:
         """Takes what another daemon tells."""
         value = request.json()
         if isinstance(value, Err):
@@ -98,7 +98,7 @@
             for kind, service, subject, *rest in value.ok_value["notes"]:
                 self._take_note(kind, service, subject, rest)
         except (KeyError, TypeError, ValueError) as error:
-            return failure_response(unreadable(error))
+            return failure_response(malformed_message_failure(error))
         return json_response({})
 
     def _take_note(
@@ -108,17 +108,17 @@
             case "free":
                 self._decider.free(service, subject)
             case "started":
-                self._decider.started(service, subject)
+                self._decider.record_first_token(service, subject)
             case "ended":
-                self._decider.ended(service, subject, failed=bool(rest[0]))
+                self._decider.record_end(service, subject, failed=bool(rest[0]))
             case "cancel":
                 self._decider.cancel(subject)
             case "briefing":
-                self._decider.learn(service, briefing_from(subject))
+                self._decider.merge_snapshot(service, decode_snapshot(subject))
             case _:
                 raise ValueError(f"a note of the unknown kind {kind}")
 
     def _moved(self, service: str) -> list[str] | None:
         """Returns who decides for a service if it is not this daemon."""
-        first = self._deciders.by_members(service)
-        return None if first.own else moved_to_wire(first)
+        first = self._deciders.decider_by_membership(service)
+        return None if first.own else encode_redirect(first)
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -17,17 +17,17 @@
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind, Ran
 from cactusdyke.kernel import Service
-from cactusdyke.serving.decided import DecidedServices
+from cactusdyke.serving.decided_services import DecidedServices
 from cactusdyke.serving.dispatch_messages import (
-    StageMade,
+    StageOutcome,
     StageWork,
-    failure_from,
-    generation_to,
-    work_to,
+    decode_failure,
+    encode_generation,
+    encode_work,
 )
-from cactusdyke.serving.holdings import Holdings, briefing_to
 from cactusdyke.serving.model import Replica
 from cactusdyke.serving.peers import PeerDaemon
+from cactusdyke.serving.resource_tracker import ResourceTracker, encode_snapshot
 from cactusdyke.serving.stage_queue import Backlog
 from cactusdyke.transport.messages import JSON_TYPE, Request, parse_object
 from cactusdyke.transport.network import CallOptions
@@ -37,25 +37,25 @@
 
     from cactusdyke.clock import Clock, Instant
     from cactusdyke.serving.decider import Decider
-    from cactusdyke.serving.deciders import Deciders
+    from cactusdyke.serving.decider_directory import DeciderDirectory
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.peer_watch import PeerWatch
     from cactusdyke.serving.request import Generation
     from cactusdyke.transport.network import Network
 
 STAGE_PATH = "/internal/v1/stage-group"
-PLACE_PATH = "/internal/v1/placement"
-NOTES_PATH = "/internal/v1/notes"
+PLACEMENT_PATH = "/internal/v1/placement"
+NOTIFICATIONS_PATH = "/internal/v1/notes"
 CONNECT_TIMEOUT_MS = 250.0
-PLACE_TIMEOUT_MS = 150.0
+PLACEMENT_TIMEOUT_MS = 150.0
 """A tenth of the shortest objectives; choosing alone is better than waiting."""
-NOTES_EVERY_MS = 8.0
-NOTES_TIMEOUT_MS = 500.0
-MOST_NOTES = 2_000
-BACKLOG_VALUES = 2
-MOST_TURNS = 4
+NOTIFY_INTERVAL_MS = 8.0
+NOTIFY_TIMEOUT_MS = 500.0
+MAX_NOTIFICATIONS = 2_000
+BACKLOG_LENGTH = 2
+MAX_ROUTING_ATTEMPTS = 4
 """After so many daemons that gave the work back it is made here."""
-HAND_OVER_EVERY_MS = 200.0
+HANDOVER_INTERVAL_MS = 200.0
 EARLY_FREE_BACKLOG_MS = 200.0
 """About a call: with less waiting for it the memory is not what binds."""
 EARLY_FREE_STABLE_MS = 3_000.0
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Placed:
+class ChosenEngine:
     """An engine that was chosen, and by whom."""
 
     replica: Replica
@@ -82,7 +82,7 @@
         *,
         clock: Clock,
         network: Network,
-        deciders: Deciders,
+        deciders: DeciderDirectory,
         watch: PeerWatch,
         decider: Decider,
         deployment: Deployment,
@@ -95,18 +95,18 @@
         self._decider = decider
         self._deployment = deployment
         self._announce = announce
-        self._holdings = Holdings(clock=clock)
+        self._holdings = ResourceTracker(clock=clock)
         self._met: dict[str, str] = {}
         self._decided = DecidedServices(clock=clock, deciders=deciders)
         self._notes: dict[str, list[Any]] = {}
         self._backlogs: dict[str, tuple[Backlog, Instant]] = {}
         self._noted = anyio.Event()
-        decider.free_inputs_by(self._free_early)
+        decider.set_free_inputs(self._free_early)
 
     @property
-    def decides(self) -> frozenset[int]:
+    def decided_hashes(self) -> frozenset[int]:
         """Marks of the services that this daemon decides for."""
-        return self._decided.marks
+        return self._decided.service_hashes
 
     async def run(self) -> None:
         """Sends notes to the daemons that decide."""
@@ -114,7 +114,7 @@
             tasks.start_soon(self._hand_over)
             while True:
                 await self._noted.wait()
-                await self._clock.sleep(NOTES_EVERY_MS)
+                await self._clock.sleep(NOTIFY_INTERVAL_MS)
                 self._noted = anyio.Event()
                 notes, self._notes = self._notes, {}
                 for address, lines in notes.items():
@@ -122,15 +122,15 @@
 
     async def _hand_over(self) -> None:
         while True:
-            await self._clock.sleep(HAND_OVER_EVERY_MS)
-            self._decider.hand_over(
-                lambda name: self._deciders.by_members(name).own
+            await self._clock.sleep(HANDOVER_INTERVAL_MS)
+            self._decider.handover(
+                lambda name: self._deciders.decider_by_membership(name).own
             )
             # Whoever has run for two seconds goes before daemons that have not,
             # but for what these say that they decide. Told in the rounds of
             # probes that came too late: seen as three to seven deciders for a
             # service in the third second after a loss of all daemons.
-            if self._decided.update(self._decider.decided):
+            if self._decided.update(self._decider.active_services):
                 self._announce()
 
     def _meet(self, service: str) -> PeerDaemon:
@@ -139,13 +139,13 @@
         It would take the makers' memory for empty, and send engines prompts
         that others have read.
         """
-        peer = self._deciders.first(service)
+        peer = self._deciders.decider_of(service)
         before = self._met.get(service)
         if before == peer.name:
             return peer
         self._met[service] = peer.name
-        briefing = self._holdings.briefing(service)
-        if before is None or briefing.empty:
+        briefing = self._holdings.snapshot(service)
+        if before is None or briefing.is_empty:
             return peer
         events.log(
             events.Event.DECIDER_CHANGED,
@@ -156,36 +156,40 @@
             prompts=len(briefing.prompts),
         )
         if peer.own:
-            self._decider.learn(service, briefing)
+            self._decider.merge_snapshot(service, briefing)
         else:
-            self._note(peer, ["briefing", service, briefing_to(briefing)])
+            self._note(peer, ["briefing", service, encode_snapshot(briefing)])
         return peer
 
-    async def make(self, work: StageWork) -> Result[StageMade, Failure]:
+    async def compute_stage(
+        self, work: StageWork
+    ) -> Result[StageOutcome, Failure]:
         """Makes the results of one stage."""
         began = self._clock.now()
-        for turn in range(MOST_TURNS):
+        for turn in range(MAX_ROUTING_ATTEMPTS):
             peer = self._meet(work.service)
-            left = _later(work, self._clock.now() - began)
-            last = turn == MOST_TURNS - 1
+            left = _after_elapsed(work, self._clock.now() - began)
+            last = turn == MAX_ROUTING_ATTEMPTS - 1
             if peer.own or last:
-                answer = await self._decider.make_work(left, pinned=last)
+                answer = await self._decider.compute_work(left, pinned=last)
             else:
-                insists = turn == MOST_TURNS - 2
+                insists = turn == MAX_ROUTING_ATTEMPTS - 2
                 answer = await self._make_at(peer, left, insists=insists)
             if isinstance(answer, Ok):
                 made = [h for h in answer.ok_value.handles if h]
-                self._holdings.made(work.service, made, work.result_bytes)
+                self._holdings.record_results(
+                    work.service, made, work.result_bytes
+                )
             if answer is not None:
                 return answer
-        return Err(_no_service(work))
+        return Err(_unknown_service_failure(work))
 
     def backlog(self, service: str) -> Backlog:
         """Returns how long pieces of a service wait, as last told.
 
         What was told fades as time passes: the queue has been worked on.
         """
-        if self._deciders.first(service).own:
+        if self._deciders.decider_of(service).own:
             return self._decider.backlog(service)
         told, at = self._backlogs.get(service, (Backlog(), 0.0))
         age_ms = self._clock.now() - at
@@ -195,7 +199,7 @@
         )
 
     def _told_backlog(self, service: str, value: Any) -> None:
-        if isinstance(value, list) and len(value) == BACKLOG_VALUES:
+        if isinstance(value, list) and len(value) == BACKLOG_LENGTH:
             told = Backlog(hopeful_ms=float(value[0]), all_ms=float(value[1]))
             self._backlogs[service] = (told, self._clock.now())
 
@@ -203,7 +207,7 @@
         """Frees results at the daemon that keeps count of them."""
         if not handles:
             return
-        self._holdings.freed(service, handles)
+        self._holdings.record_freed(service, handles)
         peer = self._meet(service)
         if peer.own:
             self._decider.free(service, handles)
@@ -230,7 +234,7 @@
         generation: Generation,
         exclude: Collection[str],
         inputs: Mapping[str, float],
-    ) -> Placed | None:
+    ) -> ChosenEngine | None:
         """Chooses an engine for a request.
 
         Args:
@@ -240,14 +244,14 @@
             exclude: Names of engines that failed the request.
             inputs: Bytes of stages' results to fetch, by data centre.
         """
-        own = self._deciders.own()
+        own = self._deciders.local_daemon()
         peer = self._meet(service)
         replica: Replica | None = None
         if not peer.own:
             replica = await self._place_at(
                 peer, service, placement_id, generation, exclude, inputs
             )
-            peer = self._deciders.first(service)
+            peer = self._deciders.decider_of(service)
         if replica is None or not self._deployment.may_use(replica):
             peer = own
             replica = self._decider.place(
@@ -255,8 +259,10 @@
             )
         if replica is None:
             return None
-        self._holdings.placed(service, placement_id, replica.name, generation)
-        return Placed(
+        self._holdings.record_placement(
+            service, placement_id, replica.name, generation
+        )
+        return ChosenEngine(
             replica=replica,
             service=service,
             placement_id=placement_id,
@@ -268,7 +274,7 @@
 
         Empty if none does, or the one that does has too much work.
         """
-        peer = self._deciders.first(service)
+        peer = self._deciders.decider_of(service)
         replica: Replica | None = None
         if not peer.own:
             replica = await self._place_at(
@@ -282,22 +288,24 @@
         """Returns where a result lies, empty if its maker is gone."""
         return self._decider.data_centre_of(handle)
 
-    def started(self, placed: Placed) -> None:
+    def notify_first_token(self, placed: ChosenEngine) -> None:
         """Tells that a request's first token has come."""
-        self._holdings.started(placed.service, placed.placement_id)
+        self._holdings.record_first_token(placed.service, placed.placement_id)
         if placed.decider.own:
-            self._decider.started(placed.service, placed.placement_id)
+            self._decider.record_first_token(
+                placed.service, placed.placement_id
+            )
         else:
             self._note(
                 placed.decider,
                 ["started", placed.service, placed.placement_id],
             )
 
-    def ended(self, placed: Placed, *, failed: bool) -> None:
+    def notify_end(self, placed: ChosenEngine, *, failed: bool) -> None:
         """Tells that a request has left its engine."""
-        self._holdings.ended(placed.service, placed.placement_id)
+        self._holdings.record_end(placed.service, placed.placement_id)
         if placed.decider.own:
-            self._decider.ended(
+            self._decider.record_end(
                 placed.service, placed.placement_id, failed=failed
             )
         else:
@@ -308,14 +316,14 @@
 
     async def _make_at(
         self, peer: PeerDaemon, work: StageWork, *, insists: bool
-    ) -> Result[StageMade, Failure] | None:
+    ) -> Result[StageOutcome, Failure] | None:
         """Asks another daemon; None if it has to be asked elsewhere."""
         answered = False
         try:
             with self._watch.waiting_for(peer):
-                body = {**work_to(work), "insists": insists}
+                body = {**encode_work(work), "insists": insists}
                 answer = await self._fetch(
-                    peer, STAGE_PATH, body, work.ends_in_ms
+                    peer, STAGE_PATH, body, work.deadline_in_ms
                 )
                 answered = True
         finally:
@@ -332,17 +340,17 @@
             return None
         body = answer.ok_value
         if "moved" in body:
-            self._deciders.take_moved(work.service, body["moved"])
+            self._deciders.apply_redirect(work.service, body["moved"])
             return None
         self._told_backlog(work.service, body.get("backlog"))
         if "handles" in body:
             return Ok(
-                StageMade(
+                StageOutcome(
                     handles=tuple(body["handles"]),
                     inputs_freed=bool(body.get("inputs_freed")),
                 )
             )
-        return Err(failure_from(body["failure"]))
+        return Err(decode_failure(body["failure"]))
 
     async def _place_at(
         self,
@@ -356,19 +364,21 @@
         body: dict[str, Any] = {
             "service": service,
             "id": placement_id,
-            "generation": generation_to(generation),
+            "generation": encode_generation(generation),
             "exclude": list(exclude),
             "inputs": {dc: round(size) for dc, size in inputs.items()},
         }
         answer: Result[dict[str, Any], Failure] | None = None
-        with self._clock.timeout(PLACE_TIMEOUT_MS):
-            answer = await self._fetch(peer, PLACE_PATH, body, PLACE_TIMEOUT_MS)
+        with self._clock.timeout(PLACEMENT_TIMEOUT_MS):
+            answer = await self._fetch(
+                peer, PLACEMENT_PATH, body, PLACEMENT_TIMEOUT_MS
+            )
             if isinstance(answer, Ok) and "moved" in answer.ok_value:
-                self._deciders.take_moved(service, answer.ok_value["moved"])
-                peer = self._deciders.first(service)
+                self._deciders.apply_redirect(service, answer.ok_value["moved"])
+                peer = self._deciders.decider_of(service)
                 body["insists"] = True
                 answer = await self._fetch(
-                    peer, PLACE_PATH, body, PLACE_TIMEOUT_MS
+                    peer, PLACEMENT_PATH, body, PLACEMENT_TIMEOUT_MS
                 )
         if answer is None or isinstance(answer, Err):
             # One late answer may be this daemon's own fault; whether the other
@@ -408,20 +418,20 @@
 
     def _note(self, peer: PeerDaemon, line: list[Any]) -> None:
         lines = self._notes.setdefault(peer.address, [])
-        if len(lines) < MOST_NOTES:
+        if len(lines) < MAX_NOTIFICATIONS:
             lines.append(line)
         self._noted.set()
 
     async def _send_notes(self, address: str, lines: list[Any]) -> None:
         request = Request(
             method="POST",
-            path=NOTES_PATH,
+            path=NOTIFICATIONS_PATH,
             headers={"content-type": JSON_TYPE},
             body=orjson.dumps({"notes": lines}),
         )
         options = CallOptions(
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
-            progress_timeout_ms=NOTES_TIMEOUT_MS,
+            progress_timeout_ms=NOTIFY_TIMEOUT_MS,
         )
         # A note that is lost costs accuracy: results expire by themselves,
         # and placements are forgotten after a while.
@@ -430,15 +440,15 @@
             self._watch.heard(address)
 
 
-def _later(work: StageWork, passed_ms: float) -> StageWork:
+def _after_elapsed(work: StageWork, passed_ms: float) -> StageWork:
     return attrs.evolve(
         work,
-        needed_in_ms=work.needed_in_ms - passed_ms,
-        ends_in_ms=work.ends_in_ms - passed_ms,
+        objective_in_ms=work.objective_in_ms - passed_ms,
+        deadline_in_ms=work.deadline_in_ms - passed_ms,
     )
 
 
-def _no_service(work: StageWork) -> Failure:
+def _unknown_service_failure(work: StageWork) -> Failure:
     return Failure(
         kind=FailureKind.NO_BACKEND_SERVER,
         detail=f"the stage service {work.service} is not configured",
--- a/cactusdyke/serving/dispatch_messages.py
+++ b/cactusdyke/serving/dispatch_messages.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class StageMade:
+class StageOutcome:
     """What became of work.
 
     Attributes:
@@ -63,30 +63,30 @@
     service: str
     name: str
     pieces: tuple[Piece, ...]
-    needed_in_ms: float
-    ends_in_ms: float
+    objective_in_ms: float
+    deadline_in_ms: float
     priority: int
     result_bytes: float
     may_refuse: bool
-    moved_bytes: float = 0.0
+    transfer_bytes: float = 0.0
     data_centre: str = ""
     last_use_of: tuple[StageInputs, ...] = ()
-    again: bool = False
+    repeated: bool = False
 
 
-def work_to(work: StageWork) -> dict[str, Any]:
+def encode_work(work: StageWork) -> dict[str, Any]:
     """Returns work as it travels."""
     return {
         "service": work.service,
         "name": work.name,
-        "needed_in_ms": round(work.needed_in_ms),
-        "ends_in_ms": round(work.ends_in_ms),
+        "needed_in_ms": round(work.objective_in_ms),
+        "ends_in_ms": round(work.deadline_in_ms),
         "priority": work.priority,
         "result_bytes": work.result_bytes,
         "may_refuse": work.may_refuse,
-        "moved_bytes": work.moved_bytes,
+        "moved_bytes": work.transfer_bytes,
         "data_centre": work.data_centre,
-        "again": work.again,
+        "again": work.repeated,
         "last_use_of": [[i.service, list(i.handles)] for i in work.last_use_of],
         "pieces": [
             [p.request_id, p.stage, p.number, p.key, list(p.inputs)]
@@ -95,7 +95,7 @@
     }
 
 
-def work_from(body: dict[str, Any]) -> StageWork:
+def decode_work(body: dict[str, Any]) -> StageWork:
     """Reads work.
 
     Raises:
@@ -104,14 +104,14 @@
     return StageWork(
         service=body["service"],
         name=body["name"],
-        needed_in_ms=float(body["needed_in_ms"]),
-        ends_in_ms=float(body["ends_in_ms"]),
+        objective_in_ms=float(body["needed_in_ms"]),
+        deadline_in_ms=float(body["ends_in_ms"]),
         priority=int(body["priority"]),
         result_bytes=float(body["result_bytes"]),
         may_refuse=bool(body["may_refuse"]),
-        moved_bytes=float(body["moved_bytes"]),
+        transfer_bytes=float(body["moved_bytes"]),
         data_centre=str(body["data_centre"]),
-        again=bool(body["again"]),
+        repeated=bool(body["again"]),
         last_use_of=tuple(
             StageInputs(service=str(service), handles=tuple(handles))
             for service, handles in body["last_use_of"]
@@ -129,7 +129,7 @@
     )
 
 
-def generation_to(generation: Generation) -> list[Any]:
+def encode_generation(generation: Generation) -> list[Any]:
     """Returns what a request asks of an engine, as it travels."""
     return [
         generation.model,
@@ -139,7 +139,7 @@
     ]
 
 
-def generation_from(value: list[Any]) -> Generation:
+def decode_generation(value: list[Any]) -> Generation:
     """Reads what a request asks of an engine.
 
     Raises:
@@ -156,12 +156,12 @@
     )
 
 
-def failure_to(failure: Failure) -> list[Any]:
+def encode_failure(failure: Failure) -> list[Any]:
     """Returns a failure as it travels."""
     return [failure.kind.code, failure.detail, failure.retry_after_ms]
 
 
-def failure_from(value: list[Any]) -> Failure:
+def decode_failure(value: list[Any]) -> Failure:
     """Reads a failure."""
     code, detail, retry_after_ms = value
     return Failure(
@@ -171,7 +171,7 @@
     )
 
 
-def unreadable(error: Exception) -> Failure:
+def malformed_message_failure(error: Exception) -> Failure:
     """Returns the failure of a message that can't be read."""
     return Failure(
         kind=FailureKind.BAD_REQUEST,
@@ -179,7 +179,7 @@
     )
 
 
-def cancelled(work: StageWork) -> Failure:
+def cancelled_failure(work: StageWork) -> Failure:
     """Returns the failure of work that was given up before it was begun."""
     return Failure(
         kind=FailureKind.NO_BACKEND_SERVER,
--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -37,7 +37,7 @@
     from cactusdyke.serving.attempt import Attempts
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
-    from cactusdyke.serving.dispatch import Dispatch, Placed
+    from cactusdyke.serving.dispatch import ChosenEngine, Dispatch
     from cactusdyke.serving.health import ReplicaHealth
     from cactusdyke.serving.measures import ServingMetrics
     from cactusdyke.serving.model import Customer, Replica, Route
@@ -320,7 +320,7 @@
         results: StageResults,
         handles: list[str],
     ) -> tuple[Failure | None, AttemptResult | None]:
-        placed: Placed | None = None
+        placed: ChosenEngine | None = None
         generation = context.request.generation
         inputs = self._stages.inputs_by_data_centre(context, results)
         placement_id = f"{context.request.request_id}/{context.attempts}"
@@ -353,7 +353,7 @@
 
         def on_first() -> None:
             if placed is not None:
-                self._dispatch.started(placed)
+                self._dispatch.notify_first_token(placed)
             self._stages.free(context, results)
 
         try:
@@ -381,7 +381,7 @@
         finally:
             self._health.ended(replica.name)
             if placed is not None:
-                self._dispatch.ended(placed, failed=not ended_well)
+                self._dispatch.notify_end(placed, failed=not ended_well)
 
     async def _free_when_fetched(
         self, context: ServingContext, results: StageResults
--- a/cactusdyke/serving/placement.py
+++ b/cactusdyke/serving/placement.py
@@ -24,27 +24,27 @@
     from cactusdyke.serving.model import EngineSpec, Replica
     from cactusdyke.serving.request import Generation
 
-FIRST_MS_PER_TOKEN = 0.02
+INITIAL_MS_PER_TOKEN = 0.02
 """Assumed until first tokens were timed: 50 prompt tokens a millisecond."""
 LEARNING_SHARE = 0.05
-SPEED_MEMORY_MS = 5_000.0
+SLOWDOWN_DECAY_MS = 5_000.0
 CACHE_SHARE = 0.8
 """Of an engine's memory; the rest holds what requests generate."""
-REREAD_WEIGHT = 1.5
+REPEATED_PREFILL_WEIGHT = 1.5
 """A shared part that is read again delays this request, and every stream on
 that engine, and takes memory from other parts."""
-HOME_STEP_MS = 25.0
+PREFERENCE_STEP_MS = 25.0
 """What a subject known nowhere pays for an engine that is not its home."""
-HOMES = 3
-CROSSING_MS_PER_MB = 20.0
+PREFERRED_ENGINES = 3
+TRANSFER_MS_PER_MB = 20.0
 """What a megabyte of results costs that an engine fetches from another data
 centre: as much as reading 300 prompt tokens, which is how they are priced."""
 BYTES_PER_MB = 1_000_000.0
-RUNNING_MS = 1.0
+RUNNING_REQUEST_MS = 1.0
 """What each running request adds to a prompt's chunks, about."""
-FULL_MS = 2_000.0
-FAILING_MS = 1_500.0
-FORGET_PLACEMENT_MS = 30_000.0
+FULL_ENGINE_MS = 2_000.0
+FAILING_ENGINE_MS = 1_500.0
+PLACEMENT_EXPIRY_MS = 30_000.0
 
 
 @attrs.define(kw_only=True)
@@ -60,10 +60,10 @@
     """
 
     replica: str
-    unread_tokens: int
-    ahead_ms: float
+    prefill_tokens: int
+    work_ahead_ms: float
     placed_at: Instant
-    reading: bool = True
+    prefilling: bool = True
 
 
 @attrs.define(kw_only=True)
@@ -86,7 +86,7 @@
         self._health = ReplicaHealth(clock=clock)
         self._engines: dict[str, _Engine] = {}
         self._placements: dict[str, Placement] = {}
-        self._ms_per_token = FIRST_MS_PER_TOKEN
+        self._ms_per_token = INITIAL_MS_PER_TOKEN
 
     def running(self, replica: str) -> int:
         """Returns how many placed requests an engine works on."""
@@ -117,15 +117,15 @@
         usable = [r for r in replicas if r.name not in exclude]
         if not usable:
             return None
-        chain = _chain(generation)
-        homes = _homes(chain, usable)
+        chain = _prefix_hashes(generation)
+        homes = _preferred_engines(chain, usable)
         all_bytes = sum(inputs.values())
 
         def cost(replica: Replica) -> float:
             far_bytes = all_bytes - inputs.get(replica.data_centre, 0.0)
             return (
                 self._cost(replica, generation, chain, homes, spec)
-                + far_bytes / BYTES_PER_MB * CROSSING_MS_PER_MB
+                + far_bytes / BYTES_PER_MB * TRANSFER_MS_PER_MB
             )
 
         best = min(usable, key=cost)
@@ -133,8 +133,8 @@
         unread = self._unread(engine, generation, chain)
         self._placements[placement_id] = Placement(
             replica=best.name,
-            unread_tokens=unread,
-            ahead_ms=engine.unread_tokens * self._ms_per_token,
+            prefill_tokens=unread,
+            work_ahead_ms=engine.unread_tokens * self._ms_per_token,
             placed_at=self._clock.now(),
         )
         engine.unread_tokens += unread
@@ -156,8 +156,8 @@
         """
         if not replicas:
             return None
-        chain = _chain(generation)
-        homes = _homes(chain, replicas)
+        chain = _prefix_hashes(generation)
+        homes = _preferred_engines(chain, replicas)
         best = min(
             replicas,
             key=lambda r: self._cost(r, generation, chain, homes, spec),
@@ -165,17 +165,17 @@
         subject = chain[-2] if len(chain) > 1 else None
         return best if subject in self._engine(best.name).cached else None
 
-    def started(self, placement_id: str) -> None:
+    def record_first_token(self, placement_id: str) -> None:
         """Notes a request's first token: its prompt has been read."""
         placement = self._placements.get(placement_id)
-        if placement is None or not placement.reading:
+        if placement is None or not placement.prefilling:
             return
         took_ms = self._clock.now() - placement.placed_at
         self._stop_reading(placement)
         self._learn(placement, took_ms)
         self._health.succeeded(placement.replica, took_ms)
 
-    def ended(self, placement_id: str, *, failed: bool) -> None:
+    def record_end(self, placement_id: str, *, failed: bool) -> None:
         """Notes that a request has left its engine."""
         placement = self._placements.pop(placement_id, None)
         if placement is None:
@@ -187,32 +187,34 @@
         if failed:
             self._health.failed(placement.replica)
 
-    def learn_held(
+    def record_cached_prompt(
         self, replica: str, generation: Generation, spec: EngineSpec
     ) -> None:
         """Takes another daemon's word that an engine has read a prompt."""
-        self._hold(self._engine(replica), generation, _chain(generation), spec)
+        self._hold(
+            self._engine(replica), generation, _prefix_hashes(generation), spec
+        )
 
-    def learn_running(
+    def record_running(
         self,
         placement_id: str,
         replica: str,
         generation: Generation,
         *,
-        reading: bool,
+        prefilling: bool,
     ) -> None:
         """Takes another daemon's word that an engine works on a request."""
         if placement_id in self._placements:
             return
         own = generation.parts[-1].tokens if generation.parts else 0
-        unread = own if reading else 0
+        unread = own if prefilling else 0
         engine = self._engine(replica)
         self._placements[placement_id] = Placement(
             replica=replica,
-            unread_tokens=unread,
-            ahead_ms=engine.unread_tokens * self._ms_per_token,
+            prefill_tokens=unread,
+            work_ahead_ms=engine.unread_tokens * self._ms_per_token,
             placed_at=self._clock.now(),
-            reading=reading,
+            prefilling=prefilling,
         )
         engine.unread_tokens += unread
         engine.running += 1
@@ -230,14 +232,22 @@
         unread = self._unread(engine, generation, chain)
         own = generation.parts[-1].tokens if generation.parts else 0
         reread = max(0, unread - own)
-        tokens = engine.unread_tokens + unread + (REREAD_WEIGHT - 1) * reread
+        tokens = (
+            engine.unread_tokens
+            + unread
+            + (REPEATED_PREFILL_WEIGHT - 1) * reread
+        )
         cost = tokens * self._ms_per_token * self._slowness(engine)
-        cost += engine.running * RUNNING_MS
+        cost += engine.running * RUNNING_REQUEST_MS
         if engine.running >= spec.slots:
-            cost += FULL_MS
+            cost += FULL_ENGINE_MS
         if reread:
-            cost += HOME_STEP_MS * homes.get(replica.name, HOMES)
-        return cost + FAILING_MS * self._health.failure_share(replica.name)
+            cost += PREFERENCE_STEP_MS * homes.get(
+                replica.name, PREFERRED_ENGINES
+            )
+        return cost + FAILING_ENGINE_MS * self._health.failure_share(
+            replica.name
+        )
 
     def _unread(
         self, engine: _Engine, generation: Generation, chain: list[int]
@@ -269,17 +279,17 @@
             engine.cached_tokens -= tokens
 
     def _stop_reading(self, placement: Placement) -> None:
-        if not placement.reading:
+        if not placement.prefilling:
             return
-        placement.reading = False
+        placement.prefilling = False
         engine = self._engine(placement.replica)
         engine.unread_tokens = max(
-            0, engine.unread_tokens - placement.unread_tokens
+            0, engine.unread_tokens - placement.prefill_tokens
         )
 
     def _learn(self, placement: Placement, took_ms: float) -> None:
-        read_ms = placement.ahead_ms + (
-            placement.unread_tokens * self._ms_per_token
+        read_ms = placement.work_ahead_ms + (
+            placement.prefill_tokens * self._ms_per_token
         )
         ratio = min(8.0, max(0.25, took_ms / max(read_ms, 30.0)))
         engine = self._engine(placement.replica)
@@ -289,7 +299,7 @@
 
     def _slowness(self, engine: _Engine) -> float:
         age = self._clock.now() - engine.slowness_at
-        faded = math.exp(-max(0.0, age) / SPEED_MEMORY_MS)
+        faded = math.exp(-max(0.0, age) / SLOWDOWN_DECAY_MS)
         return 1.0 + (engine.slowness - 1.0) * faded
 
     def _engine(self, name: str) -> _Engine:
@@ -300,10 +310,10 @@
         old = [
             key
             for key, placement in self._placements.items()
-            if now - placement.placed_at > FORGET_PLACEMENT_MS
+            if now - placement.placed_at > PLACEMENT_EXPIRY_MS
         ]
         for key in old:
-            self.ended(key, failed=False)
+            self.record_end(key, failed=False)
         names = {replica.name for replica in replicas}
         for name in list(self._engines):
             if name not in names and self._engines[name].running == 0:
@@ -311,7 +321,7 @@
         self._health.forget(names)
 
 
-def _chain(generation: Generation) -> list[int]:
+def _prefix_hashes(generation: Generation) -> list[int]:
     """Returns a name for each part together with all parts before it.
 
     An engine can use a part it holds only where it holds all before it.
@@ -324,7 +334,9 @@
     return chain
 
 
-def _homes(chain: list[int], replicas: Sequence[Replica]) -> dict[str, int]:
+def _preferred_engines(
+    chain: list[int], replicas: Sequence[Replica]
+) -> dict[str, int]:
     """Returns the rank of the engines that a subject belongs to.
 
     By rendezvous hashing: a placer that knows nothing, since the one before
@@ -335,4 +347,7 @@
         replicas,
         key=lambda r: xxhash.xxh3_64_intdigest(f"{subject}@{r.name}".encode()),
     )
-    return {replica.name: rank for rank, replica in enumerate(ranked[:HOMES])}
+    return {
+        replica.name: rank
+        for rank, replica in enumerate(ranked[:PREFERRED_ENGINES])
+    }
--- a/cactusdyke/serving/holdings.py
+++ b/cactusdyke/serving/resource_tracker.py
@@ -13,7 +13,10 @@
 import attrs
 
 from cactusdyke.clock import Instant
-from cactusdyke.serving.dispatch_messages import generation_from, generation_to
+from cactusdyke.serving.dispatch_messages import (
+    decode_generation,
+    encode_generation,
+)
 from cactusdyke.serving.request import Generation
 
 if TYPE_CHECKING:
@@ -21,12 +24,12 @@
 
     from cactusdyke.clock import Clock
 
-MOST_PROMPTS = 150
+MAX_PROMPTS = 150
 """Per service and daemon. Some 100 bytes each: the message stays below what a
 small host's link carries in 30 ms."""
-PROMPT_MEMORY_MS = 30_000.0
+PROMPT_RETENTION_MS = 30_000.0
 """Engines forget the least recently used; older ones are likely gone."""
-MOST_RESULTS = 1_000
+MAX_RESULTS = 1_000
 
 
 @attrs.frozen(kw_only=True)
@@ -45,7 +48,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class HeldPrompt:
+class CachedPrompt:
     """A prompt that an engine has read, or is reading.
 
     Attributes:
@@ -58,11 +61,11 @@
     replica: str
     generation: Generation
     placement_id: str = ""
-    reading: bool = False
+    prefilling: bool = False
 
 
 @attrs.frozen(kw_only=True)
-class Briefing:
+class ResourceSnapshot:
     """All that one daemon knows of a service's replicas.
 
     Attributes:
@@ -71,10 +74,10 @@
     """
 
     results: tuple[HeldResult, ...] = ()
-    prompts: tuple[HeldPrompt, ...] = ()
+    prompts: tuple[CachedPrompt, ...] = ()
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is nothing to tell."""
         return not (self.results or self.prompts)
 
@@ -89,7 +92,7 @@
 
 
 @attrs.define(kw_only=True)
-class _ServiceHoldings:
+class _ServiceResources:
     results: collections.OrderedDict[str, tuple[float, Instant]] = attrs.field(
         factory=collections.OrderedDict
     )
@@ -98,28 +101,30 @@
     )
 
 
-class Holdings:
+class ResourceTracker:
     """What this daemon's requests hold, by service."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._services: dict[str, _ServiceHoldings] = {}
+        self._services: dict[str, _ServiceResources] = {}
 
-    def made(self, service: str, handles: Sequence[str], size: float) -> None:
+    def record_results(
+        self, service: str, handles: Sequence[str], size: float
+    ) -> None:
         """Notes results that were made for a request here."""
         results = self._of(service).results
         for handle in handles:
             results[handle] = (size, self._clock.now())
-        while len(results) > MOST_RESULTS:
+        while len(results) > MAX_RESULTS:
             results.popitem(last=False)
 
-    def freed(self, service: str, handles: Sequence[str]) -> None:
+    def record_freed(self, service: str, handles: Sequence[str]) -> None:
         """Notes that results are not needed any more."""
         results = self._of(service).results
         for handle in handles:
             results.pop(handle, None)
 
-    def placed(
+    def record_placement(
         self,
         service: str,
         placement_id: str,
@@ -133,20 +138,20 @@
             generation=generation,
             placed_at=self._clock.now(),
         )
-        oldest = self._clock.now() - PROMPT_MEMORY_MS
+        oldest = self._clock.now() - PROMPT_RETENTION_MS
         while prompts:
             first = next(iter(prompts.values()))
-            if len(prompts) <= MOST_PROMPTS and first.placed_at >= oldest:
+            if len(prompts) <= MAX_PROMPTS and first.placed_at >= oldest:
                 return
             prompts.popitem(last=False)
 
-    def started(self, service: str, placement_id: str) -> None:
+    def record_first_token(self, service: str, placement_id: str) -> None:
         """Notes that an engine has read a request's prompt."""
         prompt = self._of(service).prompts.get(placement_id)
         if prompt is not None:
             prompt.reading = False
 
-    def ended(self, service: str, placement_id: str) -> None:
+    def record_end(self, service: str, placement_id: str) -> None:
         """Notes that a request has left its engine."""
         prompt = self._of(service).prompts.get(placement_id)
         if prompt is None:
@@ -156,31 +161,31 @@
             # It may never have been read; the engine may be gone.
             del self._of(service).prompts[placement_id]
 
-    def briefing(self, service: str) -> Briefing:
+    def snapshot(self, service: str) -> ResourceSnapshot:
         """Returns what to tell a daemon that decides for a service now."""
         now = self._clock.now()
         known = self._of(service)
-        return Briefing(
+        return ResourceSnapshot(
             results=tuple(
                 HeldResult(handle=handle, size=size, age_ms=now - at)
                 for handle, (size, at) in known.results.items()
             ),
             prompts=tuple(
-                HeldPrompt(
+                CachedPrompt(
                     replica=prompt.replica,
                     generation=prompt.generation,
                     placement_id=name if prompt.running else "",
-                    reading=prompt.running and prompt.reading,
+                    prefilling=prompt.running and prompt.reading,
                 )
                 for name, prompt in known.prompts.items()
             ),
         )
 
-    def _of(self, service: str) -> _ServiceHoldings:
-        return self._services.setdefault(service, _ServiceHoldings())
+    def _of(self, service: str) -> _ServiceResources:
+        return self._services.setdefault(service, _ServiceResources())
 
 
-def briefing_to(briefing: Briefing) -> dict[str, Any]:
+def encode_snapshot(briefing: ResourceSnapshot) -> dict[str, Any]:
     """Returns a briefing as it travels."""
     return {
         "results": [
@@ -189,32 +194,32 @@
         "prompts": [
             [
                 p.replica,
-                generation_to(p.generation),
+                encode_generation(p.generation),
                 p.placement_id,
-                int(p.reading),
+                int(p.prefilling),
             ]
             for p in briefing.prompts
         ],
     }
 
 
-def briefing_from(body: dict[str, Any]) -> Briefing:
+def decode_snapshot(body: dict[str, Any]) -> ResourceSnapshot:
     """Reads a briefing.
 
     Raises:
         KeyError, TypeError, ValueError: The message is of no known form.
     """
-    return Briefing(
+    return ResourceSnapshot(
         results=tuple(
             HeldResult(handle=str(name), size=float(size), age_ms=float(age))
             for name, size, age in body["results"]
         ),
         prompts=tuple(
-            HeldPrompt(
+            CachedPrompt(
                 replica=str(replica),
-                generation=generation_from(generation),
+                generation=decode_generation(generation),
                 placement_id=str(name),
-                reading=bool(reading),
+                prefilling=bool(reading),
             )
             for replica, generation, name, reading in body["prompts"]
         ),
--- a/cactusdyke/serving/stages.py
+++ b/cactusdyke/serving/stages.py
@@ -11,7 +11,7 @@
 from cactusdyke.serving.dialect import Piece
 from cactusdyke.serving.dispatch_messages import (
     StageInputs,
-    StageMade,
+    StageOutcome,
     StageWork,
 )
 from cactusdyke.serving.stage_queue import LARGE_BYTES
@@ -328,7 +328,7 @@
         results: StageResults,
         number: int,
         last_uses: Sequence[int],
-    ) -> Result[StageMade, Failure]:
+    ) -> Result[StageOutcome, Failure]:
         request = context.request
         stage = context.route.stages[number]
         before = results.inputs_of(number)
@@ -347,19 +347,19 @@
         now = self._clock.now()
         rest_ms = self._rest_ms(context, results, number)
         context.pending_stages.add(number)
-        answer = await self._dispatch.make(
+        answer = await self._dispatch.compute_stage(
             StageWork(
                 service=stage.service,
                 name=f"{request.request_id}/{number}/{now:.0f}",
                 pieces=pieces,
-                needed_in_ms=context.objective_at - rest_ms - now,
-                ends_in_ms=context.first_by - rest_ms - now,
+                objective_in_ms=context.objective_at - rest_ms - now,
+                deadline_in_ms=context.first_by - rest_ms - now,
                 priority=context.priority,
                 result_bytes=stage.result_bytes,
                 may_refuse=not results.made,
-                moved_bytes=self._moved_bytes(context, results, number),
+                transfer_bytes=self._moved_bytes(context, results, number),
                 data_centre="" if before else results.data_centre,
-                again=bool(results.partly_made),
+                repeated=bool(results.partly_made),
                 last_use_of=tuple(
                     StageInputs(
                         service=context.route.stages[n].service,
@@ -375,7 +375,7 @@
         return answer
 
     def _take_made(
-        self, results: StageResults, number: int, made: StageMade
+        self, results: StageResults, number: int, made: StageOutcome
     ) -> bool:
         """Takes what was made of a stage; returns whether that is all."""
         known = results.partly_made.pop(number, {})
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -258,7 +258,7 @@
 
         async def make(group):
             name = group.tasks[0].piece.request_id
-            answer = await decider.make(
+            answer = await decider.compute_group(
                 "stage", name, group, may_refuse=False, pinned=False
             )
             if answer is None:
@@ -271,10 +271,10 @@
             tasks.start_soon(make, context.waits)
             await anyio.sleep(0.01)
             context.begun.begun = True
-            decider.hand_over(lambda service: True)
+            decider.handover(lambda service: True)
             await anyio.sleep(0.01)
             context.kept = list(context.given_back)
-            decider.hand_over(lambda service: False)
+            decider.handover(lambda service: False)
             await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -11,16 +11,11 @@
 from cactusdyke.clock import EventLoopClock
 from cactusdyke.membership.member import Member
 from cactusdyke.serving import peers
-from cactusdyke.serving.deciders import Deciders
+from cactusdyke.serving.decider_directory import DeciderDirectory
 from cactusdyke.serving.deployment import Deployment
 from cactusdyke.serving.dialect import Piece
-from cactusdyke.serving.dispatch import NOTES_PATH, Dispatch
+from cactusdyke.serving.dispatch import NOTIFICATIONS_PATH, Dispatch
 from cactusdyke.serving.dispatch_messages import StageWork
-from cactusdyke.serving.holdings import (
-    Holdings,
-    briefing_from,
-    briefing_to,
-)
 from cactusdyke.serving.member_view import MemberView
 from cactusdyke.serving.model import (
     EngineSpec,
@@ -31,6 +26,11 @@
 from cactusdyke.serving.peers import PeerDaemon, PeerDaemons, mark_of
 from cactusdyke.serving.placement import EnginePlacer
 from cactusdyke.serving.request import Generation, PromptPart
+from cactusdyke.serving.resource_tracker import (
+    ResourceTracker,
+    decode_snapshot,
+    encode_snapshot,
+)
 from cactusdyke.serving.stage_queue import StageQueue
 from cactusdyke.transport.messages import json_response
 from features.steps.serving_steps import HandClock
@@ -130,10 +130,10 @@
 @given("a daemon whose request holds 4 of a maker's 4 results")
 def holds(context):
     context.clock = HandClock()
-    context.holdings = Holdings(clock=context.clock)
+    context.tracker = ResourceTracker(clock=context.clock)
     names = [f"m1/{n}" for n in range(5)]
-    context.holdings.made(SERVICE, names, MB)
-    context.holdings.freed(SERVICE, names[4:])
+    context.tracker.record_results(SERVICE, names, MB)
+    context.tracker.record_freed(SERVICE, names[4:])
     context.clock.ms += 500.0
 
 
@@ -142,7 +142,7 @@
     context.queue = StageQueue(
         clock=context.clock, spec=batch_spec(result_room_bytes=4 * MB)
     )
-    for held in context.holdings.briefing(SERVICE).results:
+    for held in context.tracker.snapshot(SERVICE).results:
         context.queue.learn_held("m1", held.handle, held.size, held.age_ms)
         context.queue.learn_held("m1", held.handle, held.size, held.age_ms)
     context.queue.add(group("a", 3, context.clock.ms, ends_at=60_000.0))
@@ -189,26 +189,28 @@
         "p", _prompt("x"), _engines(), ENGINE
     )
     context.away = next(e for e in _engines() if e.name != usual.name).name
-    context.holdings = Holdings(clock=context.clock)
+    context.tracker = ResourceTracker(clock=context.clock)
     for number in range(2):
-        context.holdings.placed(
+        context.tracker.record_placement(
             "pool", f"p{number}", context.away, _prompt(f"own{number}")
         )
-        context.holdings.started("pool", f"p{number}")
-    context.holdings.ended("pool", "p0")
+        context.tracker.record_first_token("pool", f"p{number}")
+    context.tracker.record_end("pool", "p0")
 
 
 @when("another daemon decides for the engines and is told")
 def told_prompts(context):
     context.placer = EnginePlacer(clock=context.clock)
-    for prompt in context.holdings.briefing("pool").prompts:
-        context.placer.learn_held(prompt.replica, prompt.generation, ENGINE)
+    for prompt in context.tracker.snapshot("pool").prompts:
+        context.placer.record_cached_prompt(
+            prompt.replica, prompt.generation, ENGINE
+        )
         if prompt.placement_id:
-            context.placer.learn_running(
+            context.placer.record_running(
                 prompt.placement_id,
                 prompt.replica,
                 prompt.generation,
-                reading=prompt.reading,
+                prefilling=prompt.prefilling,
             )
 
 
@@ -221,25 +223,25 @@
 @then("it counts the request that still runs there")
 def counts_running(context):
     assert context.placer.running(context.away) == 1
-    context.placer.ended("p1", failed=False)
+    context.placer.record_end("p1", failed=False)
     assert context.placer.running(context.away) == 0
 
 
 @when("its briefing is sent as JSON")
 def as_json(context):
-    context.holdings.placed("stage", "p1", "e1", _prompt("own"))
-    context.briefing = context.holdings.briefing(SERVICE)
-    context.read = briefing_from(
-        orjson.loads(orjson.dumps(briefing_to(context.briefing)))
+    context.tracker.record_placement("stage", "p1", "e1", _prompt("own"))
+    context.snapshot = context.tracker.snapshot(SERVICE)
+    context.decoded = decode_snapshot(
+        orjson.loads(orjson.dumps(encode_snapshot(context.snapshot)))
     )
 
 
 @then("what is read is what was written, and nonsense is refused")
 def read_back(context):
-    assert context.read == context.briefing
+    assert context.decoded == context.snapshot
     for nonsense in ({}, {"results": [["a"]], "prompts": []}):
         try:
-            briefing_from(nonsense)
+            decode_snapshot(nonsense)
         except (KeyError, TypeError, ValueError):
             continue
         raise AssertionError(nonsense)
@@ -274,7 +276,7 @@
     async def fetch(self, address, request, options):
         del options
         body = orjson.loads(request.body) if request.body else {}
-        if request.path == NOTES_PATH:
+        if request.path == NOTIFICATIONS_PATH:
             self.notes += [(address, *note) for note in body["notes"]]
             return Ok(json_response({}))
         handles = [f"m1/{piece[2]}" for piece in body.get("pieces", ())]
@@ -295,7 +297,7 @@
         dispatch = Dispatch(
             clock=clock,
             network=context.network,
-            deciders=Deciders(
+            deciders=DeciderDirectory(
                 clock=clock, daemons=context.daemons, watch=watch
             ),
             watch=watch,
@@ -305,10 +307,10 @@
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(dispatch.run)
-            await dispatch.make(_work("a"))
+            await dispatch.compute_stage(_work("a"))
             context.daemons.decider = "d3"
-            await dispatch.make(_work("b"))
-            await dispatch.make(_work("c"))
+            await dispatch.compute_stage(_work("b"))
+            await dispatch.compute_stage(_work("c"))
             await anyio.sleep(1)
             tasks.cancel_scope.cancel()
 
@@ -318,12 +320,12 @@
 class NeverDecides:
     """Stands for a decider that is not asked."""
 
-    decided = ()
+    active_services = ()
 
-    def hand_over(self, decides_here):
+    def handover(self, decides_here):
         del decides_here
 
-    def free_inputs_by(self, free):
+    def set_free_inputs(self, free):
         del free
 
 
@@ -332,8 +334,8 @@
         service=SERVICE,
         name=name,
         pieces=(Piece(request_id=name, stage=0, number=0),),
-        needed_in_ms=1_000.0,
-        ends_in_ms=4_000.0,
+        objective_in_ms=1_000.0,
+        deadline_in_ms=4_000.0,
         priority=0,
         result_bytes=MB,
         may_refuse=False,
@@ -391,7 +393,7 @@
         decides=frozenset,
         least_count=lambda: 1,
     )
-    context.deciders = Deciders(
+    context.deciders = DeciderDirectory(
         clock=context.clock,
         daemons=context.view,
         watch=PeerWatch(clock=context.clock, network=None),
@@ -402,7 +404,7 @@
 def asked_often(context):
     for number in range(1_000):
         context.clock.ms += 0.04
-        context.first = context.deciders.by_members(f"s{number % 5}")
+        context.first = context.deciders.decider_by_membership(f"s{number % 5}")
 
 
 @then("the members were listed once")
@@ -412,10 +414,10 @@
 
 @then("a member that leaves is left out 60 ms later")
 def left_out(context):
-    left = context.deciders.by_members("s0").name
+    left = context.deciders.decider_by_membership("s0").name
     context.members.names.remove(left)
     context.clock.ms += 60.0
-    assert context.deciders.by_members("s0").name != left
+    assert context.deciders.decider_by_membership("s0").name != left
 
 
 class CountingNetwork:
@@ -491,7 +493,7 @@
     context.told_at = {}
     for _ in range(8):
         context.node.decided.update([SERVICE])
-        context.told_at[context.clock.ms] = context.node.decided.marks
+        context.told_at[context.clock.ms] = context.node.decided.service_hashes
         context.clock.ms += 200.0
 
 
--- a/features/steps/places_steps.py
+++ b/features/steps/places_steps.py
@@ -36,8 +36,8 @@
             inputs=inputs,
         )
         found[chosen.data_centre] += 1
-        placer.started(str(subject))
-        placer.ended(str(subject), failed=False)
+        placer.record_first_token(str(subject))
+        placer.record_end(str(subject), failed=False)
     return found
 
 
@@ -62,8 +62,8 @@
     context.first = context.placer.place(
         "a", prompt(1), context.engines, ENGINE, inputs={"north": 4 * MB}
     )
-    context.placer.started("a")
-    context.placer.ended("a", failed=False)
+    context.placer.record_first_token("a")
+    context.placer.record_end("a", failed=False)
     context.clock.ms += 3_000.0
     context.second = context.placer.place(
         "b", prompt(1), context.engines, ENGINE, inputs={"south": 4 * MB}
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -22,7 +22,7 @@
 from cactusdyke.serving.dispatch import Dispatch
 from cactusdyke.serving.dispatch_messages import (
     StageInputs,
-    StageMade,
+    StageOutcome,
     StageWork,
 )
 from cactusdyke.serving.model import StageSpec
@@ -364,13 +364,13 @@
         super().__init__()
         self.works = []
 
-    async def make(self, work):
+    async def compute_stage(self, work):
         first = work.service not in self.made
         self.works.append(work)
-        made = (await super().make(work)).unwrap()
+        made = (await super().compute_stage(work)).unwrap()
         if work.service == self.loser and first:
             gone = ("", *made.handles[1:])
-            return Ok(StageMade(handles=gone, inputs_freed=True))
+            return Ok(StageOutcome(handles=gone, inputs_freed=True))
         return Ok(made)
 
 
@@ -410,7 +410,7 @@
 @then("its inputs are made again, and the lost piece alone, before others")
 def made_again(context):
     works = [
-        (work.service, [p.number for p in work.pieces], work.again)
+        (work.service, [p.number for p in work.pieces], work.repeated)
         for work in context.dispatch.works
     ]
     assert works == [
@@ -470,14 +470,14 @@
                     service="stage",
                     name=f"work {again}",
                     pieces=(Piece(request_id="r", stage=0, number=0),),
-                    needed_in_ms=1_000.0,
-                    ends_in_ms=2_000.0,
+                    objective_in_ms=1_000.0,
+                    deadline_in_ms=2_000.0,
                     priority=0,
                     result_bytes=1.0,
                     may_refuse=False,
-                    again=again,
+                    repeated=again,
                 )
-                make = partial(decider.make_work, work, pinned=False)
+                make = partial(decider.compute_work, work, pinned=False)
                 tasks.start_soon(make)
             await anyio.sleep(0.01)
             for name, known in decider._groups.items():
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -16,10 +16,10 @@
 from cactusdyke.serving import balance
 from cactusdyke.serving.batcher import StageBatcher
 from cactusdyke.serving.connection_share import ConnectionShare
-from cactusdyke.serving.deciders import Deciders
+from cactusdyke.serving.decider_directory import DeciderDirectory
 from cactusdyke.serving.deployment import Deployment
 from cactusdyke.serving.dialect import Piece
-from cactusdyke.serving.dispatch_messages import StageMade
+from cactusdyke.serving.dispatch_messages import StageOutcome
 from cactusdyke.serving.health import ReplicaHealth
 from cactusdyke.serving.model import (
     BatchSpec,
@@ -336,8 +336,8 @@
         )
         context.places[subject].add(chosen.name)
         clock.ms += 60.0
-        placer.started(str(number))
-        placer.ended(str(number), failed=False)
+        placer.record_first_token(str(number))
+        placer.record_end(str(number), failed=False)
 
 
 @then("each subject's part is read by one engine, few by two")
@@ -388,7 +388,7 @@
             str(number), prompt(7, request=number), engines(5), ENGINE
         )
         context.failing = chosen.name
-        placer.ended(str(number), failed=True)
+        placer.record_end(str(number), failed=True)
         if number == 0:
             context.first_failing = chosen.name
     context.after = [
@@ -434,7 +434,7 @@
         placer.place(
             str(subject), prompt(subject, shared=20_000), engines(1), ENGINE
         )
-        placer.ended(str(subject), failed=False)
+        placer.record_end(str(subject), failed=False)
     context.believed = placer._engines["e0"].cached_tokens
 
 
@@ -467,37 +467,39 @@
 def three_daemons(context):
     context.clock = HandClock()
     context.watch = PeerWatch(clock=context.clock, network=None)
-    context.deciders = Deciders(
+    context.deciders = DeciderDirectory(
         clock=context.clock, daemons=ThreeDaemons(), watch=context.watch
     )
-    context.usual = context.deciders.first("service").name
+    context.usual = context.deciders.decider_of("service").name
 
 
 @when("it says that another one decides by now")
 def says_moved(context):
     context.other = "d3" if context.usual == "d2" else "d2"
-    context.deciders.take_moved(
+    context.deciders.apply_redirect(
         "service", [context.other, f"{context.other}:1", "here"]
     )
 
 
 @then("that one is asked, until gossip has had its time")
 def check_moved(context):
-    assert context.deciders.first("service").name == context.other
-    assert context.deciders.by_members("service").name == context.usual
+    assert context.deciders.decider_of("service").name == context.other
+    assert (
+        context.deciders.decider_by_membership("service").name == context.usual
+    )
     context.clock.ms += 1_600.0
-    assert context.deciders.first("service").name == context.usual
+    assert context.deciders.decider_of("service").name == context.usual
 
 
 @then("not if it is silent, and not if it is this daemon itself")
 def check_not_moved(context):
     says_moved(context)
-    peer = context.deciders.first("service")
+    peer = context.deciders.decider_of("service")
     context.watch.mark_silent(peer, detail="test")
-    assert context.deciders.first("service").name != context.other
-    context.deciders.take_moved("service", ["d1", "d1:1", "here"])
-    by_members = context.deciders.by_members("service").name
-    assert context.deciders.first("service").name == by_members
+    assert context.deciders.decider_of("service").name != context.other
+    context.deciders.apply_redirect("service", ["d1", "d1:1", "here"])
+    by_members = context.deciders.decider_by_membership("service").name
+    assert context.deciders.decider_of("service").name == by_members
 
 
 class KnownBacklogs:
@@ -512,10 +514,10 @@
         ms = self._backlogs_ms.get(service, 0.0)
         return Backlog(hopeful_ms=0.0, all_ms=ms)
 
-    async def make(self, work):
+    async def compute_stage(self, work):
         self.made.append(work.service)
         handles = tuple(f"{work.service}/{p.number}" for p in work.pieces)
-        return Ok(StageMade(handles=handles))
+        return Ok(StageOutcome(handles=handles))
 
     def free(self, service, handles):
         self.freed += handles
--- a/features/support/decider_machine.py
+++ b/features/support/decider_machine.py
@@ -11,8 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from cactusdyke.serving import peers
-from cactusdyke.serving.decided import DecidedServices
-from cactusdyke.serving.deciders import Deciders
+from cactusdyke.serving.decided_services import DecidedServices
+from cactusdyke.serving.decider_directory import DeciderDirectory
 from cactusdyke.serving.peer_watch import PeerWatch
 from cactusdyke.serving.peers import PeerDaemon, PeerDaemons
 
@@ -47,7 +47,7 @@
 
     def start(self):
         self.watch = PeerWatch(clock=self.clock, network=None)
-        self.deciders = Deciders(
+        self.deciders = DeciderDirectory(
             clock=self.clock, daemons=self, watch=self.watch
         )
         self.decided = DecidedServices(clock=self.clock, deciders=self.deciders)
@@ -60,7 +60,7 @@
             front_address="",
             data_centre="here",
             ready=self.ready,
-            decides=self.decided.marks,
+            decides=self.decided.service_hashes,
         )
 
     def all(self):
@@ -71,7 +71,7 @@
         return len(NAMES)
 
     def first(self):
-        return self.deciders.by_members(SERVICE).name
+        return self.deciders.decider_by_membership(SERVICE).name
 
     def look(self):
         asked = self.clock.ms - self.asked_at < 5_000.0
