--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -25,7 +25,7 @@
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
     from cactusdyke.serving.model import BatchSpec, Replica
-    from cactusdyke.serving.resource_tracker import HeldResult
+    from cactusdyke.serving.resource_tracker import StoredResult
     from cactusdyke.transport.exchange import BackendConnections
 
 FreeInputs: TypeAlias = "Callable[[str, Sequence[str]], bool]"
@@ -127,7 +127,7 @@
                 self._free_results(group)
         return self._outcome(group)
 
-    def learn(self, results: Sequence[HeldResult]) -> None:
+    def learn(self, results: Sequence[StoredResult]) -> None:
         """Takes what another daemon's requests hold at the makers."""
         for result in results:
             address = self._dialect.maker_of(result.handle)
--- a/cactusdyke/serving/resource_tracker.py
+++ b/cactusdyke/serving/resource_tracker.py
@@ -1,8 +1,9 @@
-"""What this daemon's requests hold at replicas, to tell a new decider.
+"""Tracks the replica resources that this daemon's requests occupy.
 
-A decider keeps count of results in the makers' memory and of prompt parts in
-the engines' caches. When it dies, or another takes its place, the count is
-lost. Each daemon knows its own share of it, and tells the next decider.
+A decider accounts for results in the memory of stage replicas and for prompt
+parts in the caches of engines. The account is lost when the decider fails or
+is replaced. Each daemon tracks the share of its own requests, and sends a
+snapshot of it to the next decider.
 """
 
 from __future__ import annotations
@@ -25,21 +26,22 @@
     from cactusdyke.clock import Clock
 
 MAX_PROMPTS = 150
-"""Per service and daemon. Some 100 bytes each: the message stays below what a
-small host's link carries in 30 ms."""
+"""Limit per service and daemon. At about 100 bytes each, a snapshot stays below
+what the link of a small host transmits in 30 ms."""
 PROMPT_RETENTION_MS = 30_000.0
-"""Engines forget the least recently used; older ones are likely gone."""
+"""Engines evict the least recently used prompts; older ones are likely gone."""
 MAX_RESULTS = 1_000
+"""Limit per service and daemon."""
 
 
 @attrs.frozen(kw_only=True)
-class HeldResult:
-    """A result that a maker holds for a request.
+class StoredResult:
+    """A result that a stage replica stores for a request.
 
     Attributes:
-        handle: Names it.
-        size: About how many bytes it takes.
-        age_ms: How long ago it was made.
+        handle: Id of the result.
+        size: Approximate size in bytes.
+        age_ms: Time since it was computed.
     """
 
     handle: str
@@ -49,13 +51,13 @@
 
 @attrs.frozen(kw_only=True)
 class CachedPrompt:
-    """A prompt that an engine has read, or is reading.
+    """A prompt that an engine has prefilled, or is prefilling.
 
     Attributes:
-        replica: The engine's name.
-        generation: What was asked of it.
-        placement_id: Names the attempt that runs there, empty if none does.
-        reading: Whether its first token has not come.
+        replica: Name of the engine.
+        generation: Parameters of the generation, with the prompt's parts.
+        placement_id: Id of the attempt that runs there, empty if none does.
+        prefilling: Whether its first token is still outstanding.
     """
 
     replica: str
@@ -66,19 +68,19 @@
 
 @attrs.frozen(kw_only=True)
 class ResourceSnapshot:
-    """All that one daemon knows of a service's replicas.
+    """The resources of a service's replicas that one daemon's requests occupy.
 
     Attributes:
-        results: Results that its requests hold.
-        prompts: Prompts by its requests, the oldest first.
+        results: Stored results of its requests.
+        prompts: Prompts of its requests, oldest first.
     """
 
-    results: tuple[HeldResult, ...] = ()
+    results: tuple[StoredResult, ...] = ()
     prompts: tuple[CachedPrompt, ...] = ()
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to tell."""
+        """Whether there are neither results nor prompts."""
         return not (self.results or self.prompts)
 
 
@@ -87,7 +89,7 @@
     replica: str
     generation: Generation
     placed_at: Instant
-    reading: bool = True
+    prefilling: bool = True
     running: bool = True
 
 
@@ -102,7 +104,7 @@
 
 
 class ResourceTracker:
-    """What this daemon's requests hold, by service."""
+    """Tracks results and prompts of this daemon's requests, by service."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -111,16 +113,16 @@
     def record_results(
         self, service: str, handles: Sequence[str], size: float
     ) -> None:
-        """Notes results that were made for a request here."""
-        results = self._of(service).results
+        """Records results that were computed for a request of this daemon."""
+        results = self._resources(service).results
         for handle in handles:
             results[handle] = (size, self._clock.now())
         while len(results) > MAX_RESULTS:
             results.popitem(last=False)
 
     def record_freed(self, service: str, handles: Sequence[str]) -> None:
-        """Notes that results are not needed any more."""
-        results = self._of(service).results
+        """Records that results are no longer needed."""
+        results = self._resources(service).results
         for handle in handles:
             results.pop(handle, None)
 
@@ -131,8 +133,8 @@
         replica: str,
         generation: Generation,
     ) -> None:
-        """Notes that a request was given to an engine."""
-        prompts = self._of(service).prompts
+        """Records that a request was placed on an engine."""
+        prompts = self._resources(service).prompts
         prompts[placement_id] = _Prompt(
             replica=replica,
             generation=generation,
@@ -146,50 +148,50 @@
             prompts.popitem(last=False)
 
     def record_first_token(self, service: str, placement_id: str) -> None:
-        """Notes that an engine has read a request's prompt."""
-        prompt = self._of(service).prompts.get(placement_id)
+        """Records a request's first token: its prompt has been prefilled."""
+        prompt = self._resources(service).prompts.get(placement_id)
         if prompt is not None:
-            prompt.reading = False
+            prompt.prefilling = False
 
     def record_end(self, service: str, placement_id: str) -> None:
-        """Notes that a request has left its engine."""
-        prompt = self._of(service).prompts.get(placement_id)
+        """Records that a request has ended at its engine."""
+        prompt = self._resources(service).prompts.get(placement_id)
         if prompt is None:
             return
         prompt.running = False
-        if prompt.reading:
-            # It may never have been read; the engine may be gone.
-            del self._of(service).prompts[placement_id]
+        if prompt.prefilling:
+            # The prompt may not have been prefilled; the engine may be gone.
+            del self._resources(service).prompts[placement_id]
 
     def snapshot(self, service: str) -> ResourceSnapshot:
-        """Returns what to tell a daemon that decides for a service now."""
+        """Returns the snapshot to send to a new decider of a service."""
         now = self._clock.now()
-        known = self._of(service)
+        tracked = self._resources(service)
         return ResourceSnapshot(
             results=tuple(
-                HeldResult(handle=handle, size=size, age_ms=now - at)
-                for handle, (size, at) in known.results.items()
+                StoredResult(handle=handle, size=size, age_ms=now - at)
+                for handle, (size, at) in tracked.results.items()
             ),
             prompts=tuple(
                 CachedPrompt(
                     replica=prompt.replica,
                     generation=prompt.generation,
                     placement_id=name if prompt.running else "",
-                    prefilling=prompt.running and prompt.reading,
+                    prefilling=prompt.running and prompt.prefilling,
                 )
-                for name, prompt in known.prompts.items()
+                for name, prompt in tracked.prompts.items()
             ),
         )
 
-    def _of(self, service: str) -> _ServiceResources:
+    def _resources(self, service: str) -> _ServiceResources:
         return self._services.setdefault(service, _ServiceResources())
 
 
-def encode_snapshot(briefing: ResourceSnapshot) -> dict[str, Any]:
-    """Returns a briefing as it travels."""
+def encode_snapshot(snapshot: ResourceSnapshot) -> dict[str, Any]:
+    """Encodes a snapshot as a JSON object."""
     return {
         "results": [
-            [r.handle, round(r.size), round(r.age_ms)] for r in briefing.results
+            [r.handle, round(r.size), round(r.age_ms)] for r in snapshot.results
         ],
         "prompts": [
             [
@@ -198,20 +200,20 @@
                 p.placement_id,
                 int(p.prefilling),
             ]
-            for p in briefing.prompts
+            for p in snapshot.prompts
         ],
     }
 
 
 def decode_snapshot(body: dict[str, Any]) -> ResourceSnapshot:
-    """Reads a briefing.
+    """Decodes a snapshot.
 
     Raises:
-        KeyError, TypeError, ValueError: The message is of no known form.
+        KeyError, TypeError, ValueError: The message is malformed.
     """
     return ResourceSnapshot(
         results=tuple(
-            HeldResult(handle=str(name), size=float(size), age_ms=float(age))
+            StoredResult(handle=str(name), size=float(size), age_ms=float(age))
             for name, size, age in body["results"]
         ),
         prompts=tuple(
@@ -219,8 +221,8 @@
                 replica=str(replica),
                 generation=decode_generation(generation),
                 placement_id=str(name),
-                prefilling=bool(reading),
+                prefilling=bool(prefilling),
             )
-            for replica, generation, name, reading in body["prompts"]
+            for replica, generation, name, prefilling in body["prompts"]
         ),
     )
