--- a/cactusdyke/serving/decided_services.py
+++ b/cactusdyke/serving/decided_services.py
@@ -1,4 +1,4 @@
-"""Which services this daemon says on gossip that it decides for."""
+"""Selects the services that this daemon announces itself as decider of."""
 
 from __future__ import annotations
 
@@ -13,34 +13,39 @@
     from cactusdyke.serving.decider_directory import DeciderDirectory
 
 ANNOUNCE_DELAY_MS = 1_000.0
-"""By then gossip has told everyone of a daemon that comes or leaves."""
+"""Within this time gossip spreads to all daemons that one joined or left."""
 
 
 class DecidedServices:
-    """The services that this daemon has decided for long enough to keep.
+    """The services that this daemon has scheduled for a minimum time.
 
-    One that has just taken a service over may do so only because it has not
-    heard of another one yet. If it said at once that it decides, each would
-    hear the others' words at another moment, and a service was seen to go back
-    and forth for two seconds.
+    A daemon may take over a service only because gossip about another decider
+    has not reached it yet. Announcing this at once would reach the other
+    daemons at different times and make the service switch back and forth
+    between deciders, for two seconds in practice.
     """
 
     def __init__(self, *, clock: Clock, deciders: DeciderDirectory) -> None:
         self._clock = clock
         self._deciders = deciders
         self._since: dict[str, Instant] = {}
-        self._marks: frozenset[int] = frozenset()
+        self._service_hashes: frozenset[int] = frozenset()
 
     @property
     def service_hashes(self) -> frozenset[int]:
-        """Marks of the services, as they are told."""
-        return self._marks
+        """Service hashes, as announced on gossip."""
+        return self._service_hashes
 
     def update(self, services: Iterable[str]) -> bool:
-        """Looks again, some times a second; returns whether marks changed.
+        """Updates the set of services.
+
+        Called several times a second.
 
         Args:
-            services: Those that this daemon was lately asked to decide for.
+            services: Services that this daemon recently scheduled work for.
+
+        Returns:
+            Whether the announced service hashes changed.
         """
         now = self._clock.now()
         self._since = {
@@ -48,10 +53,10 @@
             for name in services
             if self._deciders.decider_by_membership(name).own
         }
-        before = self._marks
-        self._marks = frozenset(
+        before = self._service_hashes
+        self._service_hashes = frozenset(
             mark_of(name)
             for name, since in self._since.items()
             if now - since >= ANNOUNCE_DELAY_MS
         )
-        return self._marks != before
+        return self._service_hashes != before
--- a/cactusdyke/serving/decider_directory.py
+++ b/cactusdyke/serving/decider_directory.py
@@ -1,4 +1,4 @@
-"""Which daemon decides for a service, as seen from here."""
+"""Determines which daemon is the decider of a service."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
     from cactusdyke.serving.peers import PeerDaemons
 
 REDIRECT_VALID_MS = 1_500.0
-"""By then gossip has told everyone of a daemon that leaves or comes."""
+"""Within this time gossip spreads to all daemons that one left or joined."""
 
 
 class DeciderDirectory:
-    """The members' order for each service, and what deciders said of it.
+    """Finds deciders by membership and by redirects from former deciders.
 
-    News that a daemon leaves takes half a second to reach all. Until then
-    some ask the old decider, which knows: it names the next one, and they
-    go there at once in place of deciding for themselves.
+    The information that a daemon leaves takes half a second to reach all
+    daemons. Until then some still send work to the former decider. It answers
+    with a redirect to its successor, which they use at once instead of
+    scheduling the work themselves.
     """
 
     def __init__(
@@ -30,39 +31,41 @@
         self._clock = clock
         self._daemons = daemons
         self._watch = watch
-        self._ranked_of: tuple[PeerDaemon, ...] = ()
-        self._ranked_without: frozenset[str] = frozenset()
-        self._firsts: dict[str, PeerDaemon] = {}
+        self._ranked_daemons: tuple[PeerDaemon, ...] = ()
+        self._ranked_silent: frozenset[str] = frozenset()
+        self._decider_by_service: dict[str, PeerDaemon] = {}
         self._changed_at: Instant = clock.now()
-        self._moved: dict[str, tuple[PeerDaemon, Instant]] = {}
+        self._redirects: dict[str, tuple[PeerDaemon, Instant]] = {}
 
     @property
     def stable_ms(self) -> float:
-        """How long ago a daemon last came or left."""
+        """Time since a daemon last joined or left."""
         return self._clock.now() - self._changed_at
 
     def decider_of(self, service: str) -> PeerDaemon:
-        """Returns the daemon to ask."""
-        moved, until = self._moved.get(service, (None, 0.0))
+        """Returns the decider of a service, following a recent redirect."""
+        redirected, until = self._redirects.get(service, (None, 0.0))
         fresh = self._clock.now() < until
-        if moved and fresh and moved.name not in self._watch.silent:
-            return moved
+        if redirected and fresh and redirected.name not in self._watch.silent:
+            return redirected
         return self.decider_by_membership(service)
 
     def decider_by_membership(self, service: str) -> PeerDaemon:
-        """Returns the daemon that decides going by the members alone."""
+        """Returns the decider of a service by membership, without redirects."""
         daemons = self._daemons.all()
         silent = frozenset(self._watch.silent)
-        if daemons is not self._ranked_of or silent != self._ranked_without:
-            if {d.name for d in daemons} != {d.name for d in self._ranked_of}:
+        if daemons is not self._ranked_daemons or silent != self._ranked_silent:
+            if {d.name for d in daemons} != {
+                d.name for d in self._ranked_daemons
+            }:
                 self._changed_at = self._clock.now()
-            self._ranked_of = daemons
-            self._ranked_without = silent
-            self._firsts.clear()
-        first = self._firsts.get(service)
+            self._ranked_daemons = daemons
+            self._ranked_silent = silent
+            self._decider_by_service.clear()
+        first = self._decider_by_service.get(service)
         if first is None:
             first = peers.ranked(service, daemons, silent)[0]
-            self._firsts[service] = first
+            self._decider_by_service[service] = first
         return first
 
     def local_daemon(self) -> PeerDaemon:
@@ -70,14 +73,20 @@
         return next(d for d in self._daemons.all() if d.own)
 
     def apply_redirect(self, service: str, value: Any) -> None:
-        """Takes the word of a daemon that another one decides.
+        """Records a redirect received from a daemon that is not the decider.
+
+        A redirect to this daemon itself removes the previous one.
+
+        Args:
+            service: Service that the redirect is about.
+            value: The redirect, as made by `encode_redirect`.
 
         Raises:
-            ValueError, TypeError: The value is of no known form.
+            ValueError, TypeError: The value is malformed.
         """
         name, address, data_centre = value
         if name == self.local_daemon().name:
-            self._moved.pop(service, None)
+            self._redirects.pop(service, None)
             return
         peer = PeerDaemon(
             name=str(name),
@@ -86,9 +95,9 @@
             data_centre=str(data_centre),
             ready=True,
         )
-        self._moved[service] = (peer, self._clock.now() + REDIRECT_VALID_MS)
+        self._redirects[service] = (peer, self._clock.now() + REDIRECT_VALID_MS)
 
 
 def encode_redirect(peer: PeerDaemon) -> list[str]:
-    """Returns how a daemon is named to one that asked here in its stead."""
+    """Encodes a redirect to a daemon as a JSON array."""
     return [peer.name, peer.address, peer.data_centre]
--- a/cactusdyke/serving/decider_interface.py
+++ b/cactusdyke/serving/decider_interface.py
@@ -1,4 +1,4 @@
-"""Answers other daemons for the services that this daemon decides for."""
+"""Serves the internal endpoints of a decider to other daemons."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class DeciderInterface:
-    """The paths on which a decider is asked and told."""
+    """Request handlers for stage work, placements and notifications."""
 
     def __init__(self, *, deciders: DeciderDirectory, decider: Decider) -> None:
         self._deciders = deciders
         self._decider = decider
 
     async def handle_stage(self, request: Request) -> Response:
-        """Makes results for another daemon."""
+        """Computes the pieces of a stage for another daemon."""
         value = request.json()
         if isinstance(value, Err):
             return failure_response(value.err_value)
@@ -43,15 +43,15 @@
             work = decode_work(value.ok_value)
         except (KeyError, TypeError, ValueError) as error:
             return failure_response(malformed_message_failure(error))
-        insists = bool(value.ok_value.get("insists"))
-        moved = self._moved(work.service)
-        if moved and not insists:
-            return json_response({"moved": moved})
-        answer = await self._decider.compute_work(work, pinned=insists)
+        must_accept = bool(value.ok_value.get("insists"))
+        redirect = self._redirect(work.service)
+        if redirect and not must_accept:
+            return json_response({"moved": redirect})
+        answer = await self._decider.compute_work(work, pinned=must_accept)
         if answer is None:
-            moved = self._moved(work.service)
-            if moved:
-                return json_response({"moved": moved})
+            redirect = self._redirect(work.service)
+            if redirect:
+                return json_response({"moved": redirect})
             return failure_response(cancelled_failure(work))
         backlog = self._decider.backlog(work.service)
         body: dict[str, Any] = {
@@ -70,9 +70,9 @@
         if isinstance(value, Err):
             return failure_response(value.err_value)
         body = value.ok_value
-        moved = self._moved(str(body.get("service")))
-        if moved and not body.get("insists"):
-            return json_response({"moved": moved})
+        redirect = self._redirect(str(body.get("service")))
+        if redirect and not body.get("insists"):
+            return json_response({"moved": redirect})
         try:
             generation = decode_generation(body["generation"])
             if body["id"]:
@@ -90,18 +90,18 @@
         return json_response({"replica": replica.name if replica else None})
 
     async def handle_notifications(self, request: Request) -> Response:
-        """Takes what another daemon tells."""
+        """Applies the notifications of another daemon."""
         value = request.json()
         if isinstance(value, Err):
             return failure_response(value.err_value)
         try:
             for kind, service, subject, *rest in value.ok_value["notes"]:
-                self._take_note(kind, service, subject, rest)
+                self._apply_notification(kind, service, subject, rest)
         except (KeyError, TypeError, ValueError) as error:
             return failure_response(malformed_message_failure(error))
         return json_response({})
 
-    def _take_note(
+    def _apply_notification(
         self, kind: str, service: str, subject: Any, rest: list[Any]
     ) -> None:
         match kind:
@@ -116,9 +116,9 @@
             case "briefing":
                 self._decider.merge_snapshot(service, decode_snapshot(subject))
             case _:
-                raise ValueError(f"a note of the unknown kind {kind}")
+                raise ValueError(f"unknown kind of notification: {kind}")
 
-    def _moved(self, service: str) -> list[str] | None:
-        """Returns who decides for a service if it is not this daemon."""
+    def _redirect(self, service: str) -> list[str] | None:
+        """Returns a redirect to the decider if that is another daemon."""
         first = self._deciders.decider_by_membership(service)
         return None if first.own else encode_redirect(first)
--- a/cactusdyke/serving/dispatch_messages.py
+++ b/cactusdyke/serving/dispatch_messages.py
@@ -1,4 +1,4 @@
-"""What daemons say to each other of stages and placements, as JSON."""
+"""JSON messages between daemons about stage work and engine placement."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen(kw_only=True)
 class StageInputs:
-    """Results of one service that only the pieces they go with still need."""
+    """Results of one service that no other pieces need."""
 
     service: str
     handles: tuple[str, ...]
@@ -21,12 +21,12 @@
 
 @attrs.frozen(kw_only=True)
 class StageOutcome:
-    """What became of work.
+    """The results of computing the pieces of a stage.
 
     Attributes:
-        handles: The results, in the order of the pieces; empty where a piece
-            has none since its inputs are gone.
-        inputs_freed: Whether the inputs that went with it were freed.
+        handles: Handles of the results, in the order of the pieces; an empty
+            string for a piece whose inputs no longer exist.
+        inputs_freed: Whether the inputs in `StageWork.last_use_of` were freed.
     """
 
     handles: tuple[str, ...]
@@ -34,7 +34,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every piece has its result."""
+        """Whether every piece has a result."""
         return all(self.handles)
 
 
@@ -43,21 +43,25 @@
     """The pieces of one stage of one request.
 
     Attributes:
-        service: The stage's service.
-        name: Names the work among all.
-        pieces: The pieces.
-        needed_in_ms: Until when results are of full value.
-        ends_in_ms: Until when they are of any.
-        priority: The request's rank, 0 first.
-        result_bytes: About how large one result is.
-        may_refuse: Whether it may be refused at once for want of time.
-        moved_bytes: What each piece moves that is made elsewhere than its
-            inputs lie, or its result is fetched.
-        data_centre: Where the results are likely to be fetched, for pieces
-            without inputs.
+        service: Service that computes the stage.
+        name: Identifies the work across all daemons.
+        pieces: The pieces to compute.
+        objective_in_ms: Time left until the objective; results have their full
+            value until then.
+        deadline_in_ms: Time left until the deadline; results have no value
+            after it.
+        priority: Priority of the request; 0 is the highest.
+        result_bytes: Approximate size of one result.
+        may_refuse: Whether the work may be refused at once if too little time
+            is left for it.
+        transfer_bytes: Bytes transferred between data centres for each piece
+            that is computed in another data centre than that of its inputs or
+            of the consumer of its result.
+        data_centre: Data centre that is likely to fetch the results, for
+            pieces without inputs.
         last_use_of: Inputs to free as soon as the pieces have fetched them.
-        again: Whether it was made before for the request, whose later stages
-            have results that wait for it.
+        repeated: Whether the work was already done once for the request, and
+            results of its later stages wait for it.
     """
 
     service: str
@@ -75,7 +79,7 @@
 
 
 def encode_work(work: StageWork) -> dict[str, Any]:
-    """Returns work as it travels."""
+    """Encodes work as a JSON object."""
     return {
         "service": work.service,
         "name": work.name,
@@ -96,10 +100,10 @@
 
 
 def decode_work(body: dict[str, Any]) -> StageWork:
-    """Reads work.
+    """Decodes work.
 
     Raises:
-        KeyError, TypeError, ValueError: The message is of no known form.
+        KeyError, TypeError, ValueError: The message is malformed.
     """
     return StageWork(
         service=body["service"],
@@ -130,7 +134,7 @@
 
 
 def encode_generation(generation: Generation) -> list[Any]:
-    """Returns what a request asks of an engine, as it travels."""
+    """Encodes the parameters of a generation as a JSON array."""
     return [
         generation.model,
         generation.prompt_tokens,
@@ -140,10 +144,10 @@
 
 
 def decode_generation(value: list[Any]) -> Generation:
-    """Reads what a request asks of an engine.
+    """Decodes the parameters of a generation.
 
     Raises:
-        TypeError, ValueError: The value is of no known form.
+        TypeError, ValueError: The value is malformed.
     """
     model, prompt_tokens, output_tokens, parts = value
     return Generation(
@@ -157,12 +161,12 @@
 
 
 def encode_failure(failure: Failure) -> list[Any]:
-    """Returns a failure as it travels."""
+    """Encodes a failure as a JSON array."""
     return [failure.kind.code, failure.detail, failure.retry_after_ms]
 
 
 def decode_failure(value: list[Any]) -> Failure:
-    """Reads a failure."""
+    """Decodes a failure."""
     code, detail, retry_after_ms = value
     return Failure(
         kind=FailureKind[str(code).upper()],
@@ -172,16 +176,16 @@
 
 
 def malformed_message_failure(error: Exception) -> Failure:
-    """Returns the failure of a message that can't be read."""
+    """Returns the failure for a message that cannot be decoded."""
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        detail=f"The message can't be read: {error!r}",
+        detail=f"The message is malformed: {error!r}",
     )
 
 
 def cancelled_failure(work: StageWork) -> Failure:
-    """Returns the failure of work that was given up before it was begun."""
+    """Returns the failure for work that was cancelled before it started."""
     return Failure(
         kind=FailureKind.NO_BACKEND_SERVER,
-        detail=f"{work.name} was given up, or {work.service} is not known here",
+        detail=f"{work.name} was cancelled or {work.service} is not configured",
     )
