--- a/cactusdyke/serving/decider.py
+++ b/cactusdyke/serving/decider.py
@@ -1,4 +1,4 @@
-"""What one daemon decides for a service: its batches and placements."""
+"""Schedules the stage batches and engine placements of services."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 LARGE_INPUT_SHARE = 0.02
-"""Of a maker's memory: fifty requests that hold as much fill it."""
+"""Share of a stage replica's memory: 50 requests with such inputs fill it."""
 ACTIVE_SERVICE_MS = 5_000.0
-"""A service that nothing was asked of for so long has no queue to lose."""
+"""A service without new work for this long has no queue left to hand over."""
 DRAIN_CHECK_INTERVAL_MS = 50.0
 
 
 @attrs.define(kw_only=True)
-class _Group:
+class _ActiveGroup:
     service: str
     group: PieceGroup
     scope: anyio.CancelScope
@@ -48,7 +48,7 @@
 
 
 class Decider(Service):
-    """The batchers and placers of this daemon, made when first needed."""
+    """The batchers and placers of this daemon, created on first use."""
 
     def __init__(
         self,
@@ -66,35 +66,36 @@
         self._tracing = tracing
         self._batchers: dict[str, StageBatcher] = {}
         self._placers: dict[str, EnginePlacer] = {}
-        self._groups: dict[str, _Group] = {}
-        self._used_at: dict[str, Instant] = {}
+        self._groups: dict[str, _ActiveGroup] = {}
+        self._last_used_at: dict[str, Instant] = {}
         self._tasks: TaskGroup | None = None
         self._free_inputs: FreeInputs = _free_nothing
 
     def set_free_inputs(self, free: FreeInputs) -> None:
-        """Has inputs freed by `free`, which may reach another decider."""
+        """Sets the function that frees inputs, at other deciders as well."""
         self._free_inputs = free
 
     @property
     def active_services(self) -> list[str]:
-        """The services that were lately decided for here."""
+        """The services that recently had work scheduled by this daemon."""
         now = self._clock.now()
         return [
             service
-            for service, at in self._used_at.items()
+            for service, at in self._last_used_at.items()
             if now - at < ACTIVE_SERVICE_MS
         ]
 
     async def run(self) -> None:
-        """Runs the batches' calls."""
+        """Runs the calls of the batches."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
 
     async def drain(self) -> None:
-        """Returns once the groups that are being made here are made.
+        """Waits until all groups in progress at this daemon are done.
 
-        Other daemons wait for theirs, and would have them made once more.
+        Other daemons wait for their results, and would otherwise have them
+        computed again elsewhere.
         """
         while self._groups:
             await self._clock.sleep(DRAIN_CHECK_INTERVAL_MS)
@@ -102,11 +103,15 @@
     async def compute_work(
         self, work: StageWork, *, pinned: bool
     ) -> Result[StageOutcome, Failure] | None:
-        """Makes the results of work; None if it has to be made elsewhere.
+        """Computes the results of work.
 
         Args:
             work: The pieces of one stage of one request.
-            pinned: Whether it stays here though another daemon decides.
+            pinned: Whether the work stays at this daemon even if another one
+                becomes the decider.
+
+        Returns:
+            The results or a failure; None if another daemon has to do the work.
         """
         now = self._clock.now()
         group = PieceGroup(
@@ -120,7 +125,7 @@
             begun=work.repeated,
         )
         group.tasks = [PieceTask(piece=p, group=group) for p in work.pieces]
-        group.holds_scarce = self._holds_scarce(work)
+        group.holds_scarce = self._has_large_inputs(work)
         with self._tracing.of_request(
             "pieces",
             work.pieces[0].request_id,
@@ -144,16 +149,29 @@
         may_refuse: bool,
         pinned: bool,
     ) -> Result[StageOutcome, Failure] | None:
-        """Makes the results of a group; None if it has to be made elsewhere."""
+        """Computes the results of a group of pieces.
+
+        Args:
+            service: Service that computes the pieces.
+            name: Identifies the work across all daemons.
+            group: The pieces.
+            may_refuse: Whether the group may be refused at once if too little
+                time is left for it.
+            pinned: Whether the group stays at this daemon even if another one
+                becomes the decider.
+
+        Returns:
+            The results or a failure; None if another daemon has to do the work.
+        """
         batcher = self._batcher(service)
         if batcher is None:
             return None
         now = self._clock.now()
-        if now - self._used_at.get(service, -math.inf) > ACTIVE_SERVICE_MS:
+        if now - self._last_used_at.get(service, -math.inf) > ACTIVE_SERVICE_MS:
             batcher.take_over()
-        self._used_at[service] = now
+        self._last_used_at[service] = now
         with anyio.CancelScope() as scope:
-            self._groups[name] = _Group(
+            self._groups[name] = _ActiveGroup(
                 service=service, group=group, scope=scope, pinned=pinned
             )
             try:
@@ -162,10 +180,11 @@
                 self._groups.pop(name, None)
         return None
 
-    def _holds_scarce(self, work: StageWork) -> bool:
-        """Returns whether the inputs of work take much of their makers' memory.
+    def _has_large_inputs(self, work: StageWork) -> bool:
+        """Returns whether the inputs of work fill much of the replicas' memory.
 
-        Late requests that wait with such inputs starve the stage before them.
+        While late requests with such inputs are queued, the preceding stage
+        has no free memory for new results.
         """
         configuration = self._deployment.configuration
         if configuration is None:
@@ -174,36 +193,40 @@
             spec = configuration.services.get(inputs.service)
             if spec is None or spec.batching is None:
                 continue
-            room_bytes = spec.batching.result_room_bytes
-            if work.transfer_bytes > LARGE_INPUT_SHARE * room_bytes:
+            memory_bytes = spec.batching.result_room_bytes
+            if work.transfer_bytes > LARGE_INPUT_SHARE * memory_bytes:
                 return True
         return False
 
     def cancel(self, name: str) -> None:
-        """Gives up a group that nobody waits for."""
-        known = self._groups.get(name)
-        if known is not None:
-            known.scope.cancel()
+        """Cancels a group whose caller no longer waits for it."""
+        active = self._groups.get(name)
+        if active is not None:
+            active.scope.cancel()
 
     def handover(self, decides_here: Callable[[str], bool]) -> None:
-        """Gives groups back whose service another daemon decides for by now.
+        """Returns groups to their callers if another daemon is now the decider.
+
+        Two queues for one service half-fill their batches, and neither accounts
+        for the replica memory that the results of the other one occupy. Groups
+        that are pinned or already started stay.
 
-        Two queues for one service fill their calls by halves, and neither
-        knows what the other's results take of the replicas' memory.
+        Args:
+            decides_here: Returns whether this daemon is a service's decider.
         """
-        for known in tuple(self._groups.values()):
-            if known.pinned or known.group.begun:
+        for active in tuple(self._groups.values()):
+            if active.pinned or active.group.begun:
                 continue
-            if not decides_here(known.service):
-                known.scope.cancel()
+            if not decides_here(active.service):
+                active.scope.cancel()
 
     def backlog(self, service: str) -> Backlog:
-        """Returns how long pieces of a service wait here."""
+        """Returns the queueing time of a service's pieces at this daemon."""
         batcher = self._batchers.get(service)
         return batcher.queue.backlog() if batcher else Backlog()
 
     def free(self, service: str, handles: Sequence[str]) -> None:
-        """Frees results."""
+        """Frees results in the memory of stage replicas."""
         batcher = self._batcher(service)
         if batcher is not None:
             batcher.free(handles)
@@ -216,12 +239,23 @@
         exclude: Collection[str],
         inputs: Mapping[str, float],
     ) -> Replica | None:
-        """Chooses an engine."""
+        """Chooses an engine for a request and counts the request there.
+
+        Args:
+            service: Service of the engines.
+            placement_id: Identifies the attempt in later notifications.
+            generation: Parameters of the generation, with the prompt's parts.
+            exclude: Names of engines that failed this request.
+            inputs: Bytes of stage results to fetch, by data centre.
+
+        Returns:
+            The engine; None if there is none or the service has no engines.
+        """
         configuration = self._deployment.configuration
         spec = configuration.services.get(service) if configuration else None
         if spec is None or spec.engine is None:
             return None
-        self._used_at[service] = self._clock.now()
+        self._last_used_at[service] = self._clock.now()
         return self._placer(service).place(
             placement_id,
             generation,
@@ -232,7 +266,10 @@
         )
 
     def locate(self, service: str, generation: Generation) -> Replica | None:
-        """Returns the engine that a request would get now."""
+        """Returns the engine that would be chosen now, if it caches the prompt.
+
+        Nothing is counted. See `EnginePlacer.locate`.
+        """
         configuration = self._deployment.configuration
         spec = configuration.services.get(service) if configuration else None
         if spec is None or spec.engine is None:
@@ -241,17 +278,17 @@
             generation, self._deployment.usable(service), spec.engine
         )
 
-    def merge_snapshot(self, service: str, briefing: ResourceSnapshot) -> None:
-        """Takes what another daemon's requests hold at replicas."""
+    def merge_snapshot(self, service: str, snapshot: ResourceSnapshot) -> None:
+        """Adds the replica resources that another daemon's requests occupy."""
         configuration = self._deployment.configuration
         spec = configuration.services.get(service) if configuration else None
         batcher = self._batcher(service)
         if batcher is not None:
-            batcher.learn(briefing.results)
+            batcher.learn(snapshot.results)
         if spec is None or spec.engine is None:
             return
         placer = self._placer(service)
-        for prompt in briefing.prompts:
+        for prompt in snapshot.prompts:
             if self._deployment.replica(prompt.replica) is None:
                 continue
             placer.record_cached_prompt(
@@ -266,18 +303,18 @@
                 )
 
     def data_centre_of(self, handle: str) -> str:
-        """Returns where a result lies, empty if its maker is gone."""
+        """Returns a result's data centre, empty if its replica is gone."""
         address = self._dialect.maker_of(handle)
         return self._deployment.data_centre_at(address)
 
     def record_first_token(self, service: str, placement_id: str) -> None:
-        """Notes a placed request's first token."""
+        """Records the first token of a placed request."""
         self._placer(service).record_first_token(placement_id)
 
     def record_end(
         self, service: str, placement_id: str, *, failed: bool
     ) -> None:
-        """Notes that a placed request has left its engine."""
+        """Records that a placed request has ended at its engine."""
         self._placer(service).record_end(placement_id, failed=failed)
 
     def _placer(self, service: str) -> EnginePlacer:
@@ -308,6 +345,6 @@
 
 
 def _free_nothing(service: str, handles: Sequence[str]) -> bool:
-    """Frees nothing early, as long as nobody says how."""
+    """Frees no inputs early; the default until `set_free_inputs` is called."""
     del service, handles
     return False
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -1,8 +1,9 @@
-"""Takes each decision to the daemon that decides for its service.
+"""Sends stage work and engine placements to the decider of a service.
 
-Pieces of different requests share calls, and engines are chosen with all of
-their work known, only where one daemon sees both. Which one it is follows
-from the members; if it is silent the next one decides, and at last this one.
+Pieces of different requests can share calls, and engines can be chosen by
+their whole load, only if one daemon schedules all work of a service. That
+daemon, the decider, follows from the membership. If it is silent the next one
+is used, and as the last resort this daemon.
 """
 
 from __future__ import annotations
@@ -48,25 +49,26 @@
 NOTIFICATIONS_PATH = "/internal/v1/notes"
 CONNECT_TIMEOUT_MS = 250.0
 PLACEMENT_TIMEOUT_MS = 150.0
-"""A tenth of the shortest objectives; choosing alone is better than waiting."""
+"""A tenth of the shortest objective; a local choice is better than waiting."""
 NOTIFY_INTERVAL_MS = 8.0
 NOTIFY_TIMEOUT_MS = 500.0
 MAX_NOTIFICATIONS = 2_000
-BACKLOG_LENGTH = 2
+"""Queue limit per receiving daemon; further notifications are dropped."""
+BACKLOG_FIELDS = 2
 MAX_ROUTING_ATTEMPTS = 4
-"""After so many daemons that gave the work back it is made here."""
+"""Work that was returned or redirected this often is done by this daemon."""
 HANDOVER_INTERVAL_MS = 200.0
 EARLY_FREE_BACKLOG_MS = 200.0
-"""About a call: with less waiting for it the memory is not what binds."""
+"""About the length of a call; below it memory is not the bottleneck."""
 EARLY_FREE_STABLE_MS = 3_000.0
-"""By then all agree on who decides. While two did, calls waited behind the
-other's at the replicas and found their inputs freed, 1,700 pieces in a day of
-rolling stops."""
+"""Within this time all daemons agree on the decider. With two deciders, calls
+of one queue behind those of the other at the replicas and find their inputs
+freed: 1,700 pieces in a day of rolling stops."""
 
 
 @attrs.frozen(kw_only=True)
 class ChosenEngine:
-    """An engine that was chosen, and by whom."""
+    """An engine chosen for a request, and the daemon that chose it."""
 
     replica: Replica
     service: str
@@ -75,7 +77,7 @@
 
 
 class Dispatch(Service):
-    """Asks the deciding daemons, this one where it decides itself."""
+    """Calls the deciders of services, directly if that is this daemon."""
 
     def __init__(
         self,
@@ -95,130 +97,153 @@
         self._decider = decider
         self._deployment = deployment
         self._announce = announce
-        self._holdings = ResourceTracker(clock=clock)
-        self._met: dict[str, str] = {}
+        self._tracker = ResourceTracker(clock=clock)
+        self._last_decider: dict[str, str] = {}
         self._decided = DecidedServices(clock=clock, deciders=deciders)
-        self._notes: dict[str, list[Any]] = {}
+        self._notifications: dict[str, list[Any]] = {}
         self._backlogs: dict[str, tuple[Backlog, Instant]] = {}
-        self._noted = anyio.Event()
+        self._notification_added = anyio.Event()
         decider.set_free_inputs(self._free_early)
 
     @property
     def decided_hashes(self) -> frozenset[int]:
-        """Marks of the services that this daemon decides for."""
+        """Service hashes of the services that this daemon is the decider of."""
         return self._decided.service_hashes
 
     async def run(self) -> None:
-        """Sends notes to the daemons that decide."""
+        """Sends queued notifications and hands groups over to new deciders."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._hand_over)
+            tasks.start_soon(self._handover_loop)
             while True:
-                await self._noted.wait()
+                await self._notification_added.wait()
                 await self._clock.sleep(NOTIFY_INTERVAL_MS)
-                self._noted = anyio.Event()
-                notes, self._notes = self._notes, {}
-                for address, lines in notes.items():
-                    tasks.start_soon(self._send_notes, address, lines)
-
-    async def _hand_over(self) -> None:
+                self._notification_added = anyio.Event()
+                pending, self._notifications = self._notifications, {}
+                for address, notifications in pending.items():
+                    tasks.start_soon(
+                        self._send_notifications, address, notifications
+                    )
+
+    async def _handover_loop(self) -> None:
         while True:
             await self._clock.sleep(HANDOVER_INTERVAL_MS)
             self._decider.handover(
                 lambda name: self._deciders.decider_by_membership(name).own
             )
-            # Whoever has run for two seconds goes before daemons that have not,
-            # but for what these say that they decide. Told in the rounds of
-            # probes that came too late: seen as three to seven deciders for a
-            # service in the third second after a loss of all daemons.
+            # A daemon that has run for two seconds ranks before newer ones,
+            # unless these announce that they are the decider. Announced with
+            # the regular probes only, this arrives too late: after the loss
+            # of all daemons a service had three to seven deciders in the
+            # third second.
             if self._decided.update(self._decider.active_services):
                 self._announce()
 
-    def _meet(self, service: str) -> PeerDaemon:
-        """Returns who decides; tells a new one what is held from here.
+    def _decider_for(self, service: str) -> PeerDaemon:
+        """Returns the decider of a service, and informs a new one.
 
-        It would take the makers' memory for empty, and send engines prompts
-        that others have read.
+        Without this daemon's resource snapshot a new decider would assume
+        that the memory of stage replicas is empty, and would send prompts to
+        engines other than those that have cached them.
         """
         peer = self._deciders.decider_of(service)
-        before = self._met.get(service)
+        before = self._last_decider.get(service)
         if before == peer.name:
             return peer
-        self._met[service] = peer.name
-        briefing = self._holdings.snapshot(service)
-        if before is None or briefing.is_empty:
+        self._last_decider[service] = peer.name
+        snapshot = self._tracker.snapshot(service)
+        if before is None or snapshot.is_empty:
             return peer
         events.log(
             events.Event.DECIDER_CHANGED,
             service=service,
             before=before,
             now=peer.name,
-            results=len(briefing.results),
-            prompts=len(briefing.prompts),
+            results=len(snapshot.results),
+            prompts=len(snapshot.prompts),
         )
         if peer.own:
-            self._decider.merge_snapshot(service, briefing)
+            self._decider.merge_snapshot(service, snapshot)
         else:
-            self._note(peer, ["briefing", service, encode_snapshot(briefing)])
+            self._notify(peer, ["briefing", service, encode_snapshot(snapshot)])
         return peer
 
     async def compute_stage(
         self, work: StageWork
     ) -> Result[StageOutcome, Failure]:
-        """Makes the results of one stage."""
+        """Computes the results of one stage.
+
+        Follows redirects. In the attempt before the last one the other daemon
+        has to accept the work; in the last one this daemon does it.
+        """
         began = self._clock.now()
-        for turn in range(MAX_ROUTING_ATTEMPTS):
-            peer = self._meet(work.service)
-            left = _after_elapsed(work, self._clock.now() - began)
-            last = turn == MAX_ROUTING_ATTEMPTS - 1
+        for attempt in range(MAX_ROUTING_ATTEMPTS):
+            peer = self._decider_for(work.service)
+            remaining = _after_elapsed(work, self._clock.now() - began)
+            last = attempt == MAX_ROUTING_ATTEMPTS - 1
             if peer.own or last:
-                answer = await self._decider.compute_work(left, pinned=last)
+                answer = await self._decider.compute_work(
+                    remaining, pinned=last
+                )
             else:
-                insists = turn == MAX_ROUTING_ATTEMPTS - 2
-                answer = await self._make_at(peer, left, insists=insists)
+                must_accept = attempt == MAX_ROUTING_ATTEMPTS - 2
+                answer = await self._compute_at(
+                    peer, remaining, must_accept=must_accept
+                )
             if isinstance(answer, Ok):
-                made = [h for h in answer.ok_value.handles if h]
-                self._holdings.record_results(
-                    work.service, made, work.result_bytes
+                computed = [h for h in answer.ok_value.handles if h]
+                self._tracker.record_results(
+                    work.service, computed, work.result_bytes
                 )
             if answer is not None:
                 return answer
         return Err(_unknown_service_failure(work))
 
     def backlog(self, service: str) -> Backlog:
-        """Returns how long pieces of a service wait, as last told.
+        """Returns the queueing time of a service's pieces, as last reported.
 
-        What was told fades as time passes: the queue has been worked on.
+        A reported time is reduced by its age, as the queue has been processed
+        since.
         """
         if self._deciders.decider_of(service).own:
             return self._decider.backlog(service)
-        told, at = self._backlogs.get(service, (Backlog(), 0.0))
+        reported, at = self._backlogs.get(service, (Backlog(), 0.0))
         age_ms = self._clock.now() - at
         return Backlog(
-            hopeful_ms=max(0.0, told.hopeful_ms - age_ms),
-            all_ms=max(0.0, told.all_ms - age_ms),
+            hopeful_ms=max(0.0, reported.hopeful_ms - age_ms),
+            all_ms=max(0.0, reported.all_ms - age_ms),
         )
 
-    def _told_backlog(self, service: str, value: Any) -> None:
-        if isinstance(value, list) and len(value) == BACKLOG_LENGTH:
-            told = Backlog(hopeful_ms=float(value[0]), all_ms=float(value[1]))
-            self._backlogs[service] = (told, self._clock.now())
+    def _update_backlog(self, service: str, value: Any) -> None:
+        if isinstance(value, list) and len(value) == BACKLOG_FIELDS:
+            reported = Backlog(
+                hopeful_ms=float(value[0]), all_ms=float(value[1])
+            )
+            self._backlogs[service] = (reported, self._clock.now())
 
     def free(self, service: str, handles: Sequence[str]) -> None:
-        """Frees results at the daemon that keeps count of them."""
+        """Frees results at the decider, which accounts for them."""
         if not handles:
             return
-        self._holdings.record_freed(service, handles)
-        peer = self._meet(service)
+        self._tracker.record_freed(service, handles)
+        peer = self._decider_for(service)
         if peer.own:
             self._decider.free(service, handles)
         else:
-            self._note(peer, ["free", service, list(handles)])
+            self._notify(peer, ["free", service, list(handles)])
 
     def _free_early(self, service: str, handles: Sequence[str]) -> bool:
-        """Frees inputs that calls have fetched, if that helps anybody.
+        """Frees inputs that calls have fetched, if memory is a bottleneck.
 
-        It costs the requests of which a piece fails afterwards, 2 in 100, all
-        their results; where memory binds it makes calls a third fuller.
+        If a piece fails afterwards, as for 2 in 100 requests, the request
+        loses all its results. Where memory is the bottleneck, batches become
+        a third larger.
+
+        Args:
+            service: Service that computed the inputs.
+            handles: Handles of the inputs.
+
+        Returns:
+            Whether the inputs are freed.
         """
         if self.backlog(service).all_ms < EARLY_FREE_BACKLOG_MS:
             return False
@@ -238,14 +263,17 @@
         """Chooses an engine for a request.
 
         Args:
-            service: The engines' service.
-            placement_id: Names the attempt in `started` and `ended`.
-            generation: What the request asks for.
+            service: Service of the engines.
+            placement_id: Identifies the attempt in later notifications.
+            generation: Parameters of the generation, with the prompt's parts.
             exclude: Names of engines that failed the request.
-            inputs: Bytes of stages' results to fetch, by data centre.
+            inputs: Bytes of stage results to fetch, by data centre.
+
+        Returns:
+            The chosen engine; None if there is none.
         """
-        own = self._deciders.local_daemon()
-        peer = self._meet(service)
+        local = self._deciders.local_daemon()
+        peer = self._decider_for(service)
         replica: Replica | None = None
         if not peer.own:
             replica = await self._place_at(
@@ -253,13 +281,13 @@
             )
             peer = self._deciders.decider_of(service)
         if replica is None or not self._deployment.may_use(replica):
-            peer = own
+            peer = local
             replica = self._decider.place(
                 service, placement_id, generation, exclude, inputs
             )
         if replica is None:
             return None
-        self._holdings.record_placement(
+        self._tracker.record_placement(
             service, placement_id, replica.name, generation
         )
         return ChosenEngine(
@@ -270,9 +298,9 @@
         )
 
     async def locate(self, service: str, generation: Generation) -> str:
-        """Returns the data centre of the engine that knows a subject.
+        """Returns the data centre of the engine that caches a subject.
 
-        Empty if none does, or the one that does has too much work.
+        Empty if none does, or if the one that does is too busy.
         """
         peer = self._deciders.decider_of(service)
         replica: Replica | None = None
@@ -285,50 +313,50 @@
         return replica.data_centre if replica else ""
 
     def data_centre_of(self, handle: str) -> str:
-        """Returns where a result lies, empty if its maker is gone."""
+        """Returns a result's data centre, empty if its replica is gone."""
         return self._decider.data_centre_of(handle)
 
-    def notify_first_token(self, placed: ChosenEngine) -> None:
-        """Tells that a request's first token has come."""
-        self._holdings.record_first_token(placed.service, placed.placement_id)
-        if placed.decider.own:
+    def notify_first_token(self, chosen: ChosenEngine) -> None:
+        """Notifies the decider of a request's first token."""
+        self._tracker.record_first_token(chosen.service, chosen.placement_id)
+        if chosen.decider.own:
             self._decider.record_first_token(
-                placed.service, placed.placement_id
+                chosen.service, chosen.placement_id
             )
         else:
-            self._note(
-                placed.decider,
-                ["started", placed.service, placed.placement_id],
+            self._notify(
+                chosen.decider,
+                ["started", chosen.service, chosen.placement_id],
             )
 
-    def notify_end(self, placed: ChosenEngine, *, failed: bool) -> None:
-        """Tells that a request has left its engine."""
-        self._holdings.record_end(placed.service, placed.placement_id)
-        if placed.decider.own:
+    def notify_end(self, chosen: ChosenEngine, *, failed: bool) -> None:
+        """Notifies the decider that a request has ended at its engine."""
+        self._tracker.record_end(chosen.service, chosen.placement_id)
+        if chosen.decider.own:
             self._decider.record_end(
-                placed.service, placed.placement_id, failed=failed
+                chosen.service, chosen.placement_id, failed=failed
             )
         else:
-            self._note(
-                placed.decider,
-                ["ended", placed.service, placed.placement_id, failed],
+            self._notify(
+                chosen.decider,
+                ["ended", chosen.service, chosen.placement_id, failed],
             )
 
-    async def _make_at(
-        self, peer: PeerDaemon, work: StageWork, *, insists: bool
+    async def _compute_at(
+        self, peer: PeerDaemon, work: StageWork, *, must_accept: bool
     ) -> Result[StageOutcome, Failure] | None:
-        """Asks another daemon; None if it has to be asked elsewhere."""
+        """Sends work to another daemon; None if it has to be sent elsewhere."""
         answered = False
         try:
             with self._watch.waiting_for(peer):
-                body = {**encode_work(work), "insists": insists}
+                body = {**encode_work(work), "insists": must_accept}
                 answer = await self._fetch(
                     peer, STAGE_PATH, body, work.deadline_in_ms
                 )
                 answered = True
         finally:
             if not answered:
-                self._note(peer, ["cancel", work.service, work.name])
+                self._notify(peer, ["cancel", work.service, work.name])
         if not answered:
             return None
         if isinstance(answer, Err):
@@ -342,7 +370,7 @@
         if "moved" in body:
             self._deciders.apply_redirect(work.service, body["moved"])
             return None
-        self._told_backlog(work.service, body.get("backlog"))
+        self._update_backlog(work.service, body.get("backlog"))
         if "handles" in body:
             return Ok(
                 StageOutcome(
@@ -381,8 +409,8 @@
                     peer, PLACEMENT_PATH, body, PLACEMENT_TIMEOUT_MS
                 )
         if answer is None or isinstance(answer, Err):
-            # One late answer may be this daemon's own fault; whether the other
-            # one is silent is asked before everyone's requests leave it.
+            # A late answer may be caused by this daemon itself. The other one
+            # is probed before all requests avoid it as silent.
             self._watch.suspect(peer)
             return None
         name = answer.ok_value.get("replica")
@@ -416,35 +444,37 @@
             )
         return parse_object(response.body)
 
-    def _note(self, peer: PeerDaemon, line: list[Any]) -> None:
-        lines = self._notes.setdefault(peer.address, [])
-        if len(lines) < MAX_NOTIFICATIONS:
-            lines.append(line)
-        self._noted.set()
+    def _notify(self, peer: PeerDaemon, notification: list[Any]) -> None:
+        queued = self._notifications.setdefault(peer.address, [])
+        if len(queued) < MAX_NOTIFICATIONS:
+            queued.append(notification)
+        self._notification_added.set()
 
-    async def _send_notes(self, address: str, lines: list[Any]) -> None:
+    async def _send_notifications(
+        self, address: str, notifications: list[Any]
+    ) -> None:
         request = Request(
             method="POST",
             path=NOTIFICATIONS_PATH,
             headers={"content-type": JSON_TYPE},
-            body=orjson.dumps({"notes": lines}),
+            body=orjson.dumps({"notes": notifications}),
         )
         options = CallOptions(
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
             progress_timeout_ms=NOTIFY_TIMEOUT_MS,
         )
-        # A note that is lost costs accuracy: results expire by themselves,
-        # and placements are forgotten after a while.
+        # A lost notification only costs accuracy: results expire by
+        # themselves, and placements are dropped after a while.
         answer = await self._network.fetch(address, request, options)
         if answer.is_ok():
             self._watch.heard(address)
 
 
-def _after_elapsed(work: StageWork, passed_ms: float) -> StageWork:
+def _after_elapsed(work: StageWork, elapsed_ms: float) -> StageWork:
     return attrs.evolve(
         work,
-        objective_in_ms=work.objective_in_ms - passed_ms,
-        deadline_in_ms=work.deadline_in_ms - passed_ms,
+        objective_in_ms=work.objective_in_ms - elapsed_ms,
+        deadline_in_ms=work.deadline_in_ms - elapsed_ms,
     )
 
 
