--- a/cactusdyke/serving/placement.py
+++ b/cactusdyke/serving/placement.py
@@ -1,7 +1,9 @@
-"""Chooses an engine by the prompt parts it holds and the work it has.
+"""Chooses engines by their cached prompt parts and their load.
 
-One placer decides for all requests of a service, so that two daemons never
-send the same subject to two engines, nor two long prompts to one.
+One placer serves all requests of a service, so that two daemons never send
+the same subject to two engines, nor two long prompts to one engine.
+
+A subject is all of a prompt before its last part; requests share it.
 """
 
 from __future__ import annotations
@@ -24,39 +26,41 @@
     from cactusdyke.serving.model import EngineSpec, Replica
     from cactusdyke.serving.request import Generation
 
-INITIAL_MS_PER_TOKEN = 0.02
-"""Assumed until first tokens were timed: 50 prompt tokens a millisecond."""
+ASSUMED_MS_PER_TOKEN = 0.02
+"""Prefill speed of an engine: 50 prompt tokens per millisecond."""
 LEARNING_SHARE = 0.05
 SLOWDOWN_DECAY_MS = 5_000.0
 CACHE_SHARE = 0.8
-"""Of an engine's memory; the rest holds what requests generate."""
+"""Share of an engine's memory; the rest stores generated tokens."""
 REPEATED_PREFILL_WEIGHT = 1.5
-"""A shared part that is read again delays this request, and every stream on
-that engine, and takes memory from other parts."""
+"""The repeated prefill of a shared part delays this request and every stream on
+the engine, and evicts other parts from its memory."""
 PREFERENCE_STEP_MS = 25.0
-"""What a subject known nowhere pays for an engine that is not its home."""
-PREFERRED_ENGINES = 3
+"""Cost per rank of preference of an engine that has not cached the subject."""
+PREFERRED_ENGINE_COUNT = 3
 TRANSFER_MS_PER_MB = 20.0
-"""What a megabyte of results costs that an engine fetches from another data
-centre: as much as reading 300 prompt tokens, which is how they are priced."""
+"""Cost per megabyte of results that an engine fetches from another data centre.
+A megabyte is priced like the prefill of 300 prompt tokens."""
 BYTES_PER_MB = 1_000_000.0
 RUNNING_REQUEST_MS = 1.0
-"""What each running request adds to a prompt's chunks, about."""
+"""Approximate delay that each running request adds to a prompt's chunks."""
 FULL_ENGINE_MS = 2_000.0
+"""Cost of an engine without a free slot."""
 FAILING_ENGINE_MS = 1_500.0
+"""Cost of an engine times the share of its requests that fail."""
 PLACEMENT_EXPIRY_MS = 30_000.0
 
 
 @attrs.define(kw_only=True)
 class Placement:
-    """One request given to an engine.
+    """One request placed on an engine.
 
     Attributes:
-        replica: The engine's name.
-        unread_tokens: Prompt tokens that it has to read.
-        ahead_ms: Work that was ahead of it.
-        placed_at: When it was placed.
-        reading: Whether its first token has not come.
+        replica: Name of the engine.
+        prefill_tokens: Prompt tokens that the engine has to prefill.
+        work_ahead_ms: Prefill time of the requests queued before it.
+        placed_at: Instant of the placement.
+        prefilling: Whether its first token is still outstanding.
     """
 
     replica: str
@@ -73,9 +77,9 @@
     )
     cached_tokens: int = 0
     running: int = 0
-    unread_tokens: int = 0
-    slowness: float = 1.0
-    slowness_at: Instant = 0.0
+    prefill_tokens: int = 0
+    slowdown: float = 1.0
+    slowdown_at: Instant = 0.0
 
 
 class EnginePlacer:
@@ -86,10 +90,10 @@
         self._health = ReplicaHealth(clock=clock)
         self._engines: dict[str, _Engine] = {}
         self._placements: dict[str, Placement] = {}
-        self._ms_per_token = INITIAL_MS_PER_TOKEN
+        self._ms_per_token = ASSUMED_MS_PER_TOKEN
 
     def running(self, replica: str) -> int:
-        """Returns how many placed requests an engine works on."""
+        """Returns how many placed requests run on an engine."""
         engine = self._engines.get(replica)
         return engine.running if engine else 0
 
@@ -106,40 +110,44 @@
         """Chooses an engine and counts the request there.
 
         Args:
-            placement_id: Names the attempt in `started` and `ended`.
-            generation: What the request asks for.
+            placement_id: Identifies the attempt in `record_first_token` and
+                `record_end`.
+            generation: Parameters of the generation, with the prompt's parts.
             replicas: The engines that may be used.
-            spec: What each of them can hold.
+            spec: Capacity of each engine.
             exclude: Names of engines that failed this request.
-            inputs: Bytes of stages' results to fetch, by data centre.
+            inputs: Bytes of stage results to fetch, by data centre.
+
+        Returns:
+            The engine, or None if none may be used.
         """
-        self._forget(replicas)
+        self._drop_stale(replicas)
         usable = [r for r in replicas if r.name not in exclude]
         if not usable:
             return None
-        chain = _prefix_hashes(generation)
-        homes = _preferred_engines(chain, usable)
+        hashes = _prefix_hashes(generation)
+        preferred = _preferred_engines(hashes, usable)
         all_bytes = sum(inputs.values())
 
         def cost(replica: Replica) -> float:
-            far_bytes = all_bytes - inputs.get(replica.data_centre, 0.0)
+            remote_bytes = all_bytes - inputs.get(replica.data_centre, 0.0)
             return (
-                self._cost(replica, generation, chain, homes, spec)
-                + far_bytes / BYTES_PER_MB * TRANSFER_MS_PER_MB
+                self._cost(replica, generation, hashes, preferred, spec)
+                + remote_bytes / BYTES_PER_MB * TRANSFER_MS_PER_MB
             )
 
         best = min(usable, key=cost)
         engine = self._engine(best.name)
-        unread = self._unread(engine, generation, chain)
+        tokens_to_prefill = self._tokens_to_prefill(engine, generation, hashes)
         self._placements[placement_id] = Placement(
             replica=best.name,
-            prefill_tokens=unread,
-            work_ahead_ms=engine.unread_tokens * self._ms_per_token,
+            prefill_tokens=tokens_to_prefill,
+            work_ahead_ms=engine.prefill_tokens * self._ms_per_token,
             placed_at=self._clock.now(),
         )
-        engine.unread_tokens += unread
+        engine.prefill_tokens += tokens_to_prefill
         engine.running += 1
-        self._hold(engine, generation, chain, spec)
+        self._cache_parts(engine, generation, hashes, spec)
         self._health.started(best.name)
         return best
 
@@ -149,38 +157,38 @@
         replicas: Sequence[Replica],
         spec: EngineSpec,
     ) -> Replica | None:
-        """Returns the engine that a request would get now, uncounted.
+        """Returns the engine that would be chosen now, without counting.
 
-        None where its subject is known nowhere: the engine is chosen by where
-        the results of its stages lie then.
+        None if that engine has not cached the subject: the engine is then
+        chosen by the location of the request's stage results.
         """
         if not replicas:
             return None
-        chain = _prefix_hashes(generation)
-        homes = _preferred_engines(chain, replicas)
+        hashes = _prefix_hashes(generation)
+        preferred = _preferred_engines(hashes, replicas)
         best = min(
             replicas,
-            key=lambda r: self._cost(r, generation, chain, homes, spec),
+            key=lambda r: self._cost(r, generation, hashes, preferred, spec),
         )
-        subject = chain[-2] if len(chain) > 1 else None
+        subject = hashes[-2] if len(hashes) > 1 else None
         return best if subject in self._engine(best.name).cached else None
 
     def record_first_token(self, placement_id: str) -> None:
-        """Notes a request's first token: its prompt has been read."""
+        """Records a request's first token: its prompt has been prefilled."""
         placement = self._placements.get(placement_id)
         if placement is None or not placement.prefilling:
             return
         took_ms = self._clock.now() - placement.placed_at
-        self._stop_reading(placement)
-        self._learn(placement, took_ms)
+        self._end_prefill(placement)
+        self._update_slowdown(placement, took_ms)
         self._health.succeeded(placement.replica, took_ms)
 
     def record_end(self, placement_id: str, *, failed: bool) -> None:
-        """Notes that a request has left its engine."""
+        """Records that a request has ended at its engine."""
         placement = self._placements.pop(placement_id, None)
         if placement is None:
             return
-        self._stop_reading(placement)
+        self._end_prefill(placement)
         engine = self._engine(placement.replica)
         engine.running = max(0, engine.running - 1)
         self._health.ended(placement.replica)
@@ -190,8 +198,8 @@
     def record_cached_prompt(
         self, replica: str, generation: Generation, spec: EngineSpec
     ) -> None:
-        """Takes another daemon's word that an engine has read a prompt."""
-        self._hold(
+        """Records another daemon's report that an engine cached a prompt."""
+        self._cache_parts(
             self._engine(replica), generation, _prefix_hashes(generation), spec
         )
 
@@ -203,20 +211,20 @@
         *,
         prefilling: bool,
     ) -> None:
-        """Takes another daemon's word that an engine works on a request."""
+        """Records another daemon's report of a request running on an engine."""
         if placement_id in self._placements:
             return
-        own = generation.parts[-1].tokens if generation.parts else 0
-        unread = own if prefilling else 0
+        own_tokens = generation.parts[-1].tokens if generation.parts else 0
+        tokens_to_prefill = own_tokens if prefilling else 0
         engine = self._engine(replica)
         self._placements[placement_id] = Placement(
             replica=replica,
-            prefill_tokens=unread,
-            work_ahead_ms=engine.unread_tokens * self._ms_per_token,
+            prefill_tokens=tokens_to_prefill,
+            work_ahead_ms=engine.prefill_tokens * self._ms_per_token,
             placed_at=self._clock.now(),
             prefilling=prefilling,
         )
-        engine.unread_tokens += unread
+        engine.prefill_tokens += tokens_to_prefill
         engine.running += 1
         self._health.started(replica)
 
@@ -224,95 +232,95 @@
         self,
         replica: Replica,
         generation: Generation,
-        chain: list[int],
-        homes: dict[str, int],
+        hashes: list[int],
+        preferred: dict[str, int],
         spec: EngineSpec,
     ) -> float:
         engine = self._engine(replica.name)
-        unread = self._unread(engine, generation, chain)
-        own = generation.parts[-1].tokens if generation.parts else 0
-        reread = max(0, unread - own)
+        tokens_to_prefill = self._tokens_to_prefill(engine, generation, hashes)
+        own_tokens = generation.parts[-1].tokens if generation.parts else 0
+        repeated_tokens = max(0, tokens_to_prefill - own_tokens)
         tokens = (
-            engine.unread_tokens
-            + unread
-            + (REPEATED_PREFILL_WEIGHT - 1) * reread
+            engine.prefill_tokens
+            + tokens_to_prefill
+            + (REPEATED_PREFILL_WEIGHT - 1) * repeated_tokens
         )
-        cost = tokens * self._ms_per_token * self._slowness(engine)
+        cost = tokens * self._ms_per_token * self._slowdown(engine)
         cost += engine.running * RUNNING_REQUEST_MS
         if engine.running >= spec.slots:
             cost += FULL_ENGINE_MS
-        if reread:
-            cost += PREFERENCE_STEP_MS * homes.get(
-                replica.name, PREFERRED_ENGINES
+        if repeated_tokens:
+            cost += PREFERENCE_STEP_MS * preferred.get(
+                replica.name, PREFERRED_ENGINE_COUNT
             )
         return cost + FAILING_ENGINE_MS * self._health.failure_share(
             replica.name
         )
 
-    def _unread(
-        self, engine: _Engine, generation: Generation, chain: list[int]
+    def _tokens_to_prefill(
+        self, engine: _Engine, generation: Generation, hashes: list[int]
     ) -> int:
-        unread = generation.prompt_tokens
-        for part, link in zip(generation.parts, chain, strict=True):
-            if link not in engine.cached:
+        tokens_to_prefill = generation.prompt_tokens
+        for part, prefix_hash in zip(generation.parts, hashes, strict=True):
+            if prefix_hash not in engine.cached:
                 break
-            unread -= part.tokens
-        return max(0, unread)
+            tokens_to_prefill -= part.tokens
+        return max(0, tokens_to_prefill)
 
-    def _hold(
+    def _cache_parts(
         self,
         engine: _Engine,
         generation: Generation,
-        chain: list[int],
+        hashes: list[int],
         spec: EngineSpec,
     ) -> None:
-        for part, link in zip(generation.parts, chain, strict=True):
-            if link in engine.cached:
-                engine.cached.move_to_end(link)
+        for part, prefix_hash in zip(generation.parts, hashes, strict=True):
+            if prefix_hash in engine.cached:
+                engine.cached.move_to_end(prefix_hash)
                 continue
-            engine.cached[link] = part.tokens
+            engine.cached[prefix_hash] = part.tokens
             engine.cached_tokens += part.tokens
         while engine.cached_tokens > CACHE_SHARE * spec.kv_tokens:
-            if len(engine.cached) <= len(chain):
+            if len(engine.cached) <= len(hashes):
                 return
             _, tokens = engine.cached.popitem(last=False)
             engine.cached_tokens -= tokens
 
-    def _stop_reading(self, placement: Placement) -> None:
+    def _end_prefill(self, placement: Placement) -> None:
         if not placement.prefilling:
             return
         placement.prefilling = False
         engine = self._engine(placement.replica)
-        engine.unread_tokens = max(
-            0, engine.unread_tokens - placement.prefill_tokens
+        engine.prefill_tokens = max(
+            0, engine.prefill_tokens - placement.prefill_tokens
         )
 
-    def _learn(self, placement: Placement, took_ms: float) -> None:
-        read_ms = placement.work_ahead_ms + (
+    def _update_slowdown(self, placement: Placement, took_ms: float) -> None:
+        expected_ms = placement.work_ahead_ms + (
             placement.prefill_tokens * self._ms_per_token
         )
-        ratio = min(8.0, max(0.25, took_ms / max(read_ms, 30.0)))
+        ratio = min(8.0, max(0.25, took_ms / max(expected_ms, 30.0)))
         engine = self._engine(placement.replica)
-        slowness = self._slowness(engine)
-        engine.slowness = slowness + 0.2 * (ratio - slowness)
-        engine.slowness_at = self._clock.now()
+        slowdown = self._slowdown(engine)
+        engine.slowdown = slowdown + 0.2 * (ratio - slowdown)
+        engine.slowdown_at = self._clock.now()
 
-    def _slowness(self, engine: _Engine) -> float:
-        age = self._clock.now() - engine.slowness_at
-        faded = math.exp(-max(0.0, age) / SLOWDOWN_DECAY_MS)
-        return 1.0 + (engine.slowness - 1.0) * faded
+    def _slowdown(self, engine: _Engine) -> float:
+        age_ms = self._clock.now() - engine.slowdown_at
+        decay = math.exp(-max(0.0, age_ms) / SLOWDOWN_DECAY_MS)
+        return 1.0 + (engine.slowdown - 1.0) * decay
 
     def _engine(self, name: str) -> _Engine:
         return self._engines.setdefault(name, _Engine())
 
-    def _forget(self, replicas: Sequence[Replica]) -> None:
+    def _drop_stale(self, replicas: Sequence[Replica]) -> None:
         now = self._clock.now()
-        old = [
+        expired = [
             key
             for key, placement in self._placements.items()
             if now - placement.placed_at > PLACEMENT_EXPIRY_MS
         ]
-        for key in old:
+        for key in expired:
             self.record_end(key, failed=False)
         names = {replica.name for replica in replicas}
         for name in list(self._engines):
@@ -322,32 +330,35 @@
 
 
 def _prefix_hashes(generation: Generation) -> list[int]:
-    """Returns a name for each part together with all parts before it.
+    """Returns a hash for each part together with all parts before it.
 
-    An engine can use a part it holds only where it holds all before it.
+    An engine can use a cached part only if it has cached all parts before it.
     """
     digest = xxhash.xxh3_64(generation.model.encode())
-    chain = []
+    hashes = []
     for part in generation.parts:
         digest.update(b"/" + part.name.encode())
-        chain.append(digest.intdigest())
-    return chain
+        hashes.append(digest.intdigest())
+    return hashes
 
 
 def _preferred_engines(
-    chain: list[int], replicas: Sequence[Replica]
+    hashes: list[int], replicas: Sequence[Replica]
 ) -> dict[str, int]:
-    """Returns the rank of the engines that a subject belongs to.
+    """Returns the ranks of the preferred engines of a subject.
 
-    By rendezvous hashing: a placer that knows nothing, since the one before
-    it has just died, sends most subjects to where they were.
+    Uses rendezvous hashing, so that a new placer without state, after the
+    failure of the previous decider, sends most subjects to the engines that
+    have cached them.
     """
-    subject = str(chain[-2] if len(chain) > 1 else chain[-1] if chain else 0)
+    subject = str(
+        hashes[-2] if len(hashes) > 1 else hashes[-1] if hashes else 0
+    )
     ranked = sorted(
         replicas,
         key=lambda r: xxhash.xxh3_64_intdigest(f"{subject}@{r.name}".encode()),
     )
     return {
         replica.name: rank
-        for rank, replica in enumerate(ranked[:PREFERRED_ENGINES])
+        for rank, replica in enumerate(ranked[:PREFERRED_ENGINE_COUNT])
     }
