--- a/features/serving/deciders.feature
+++ b/features/serving/deciders.feature
@@ -1,81 +1,82 @@
-Feature: who decides for a service, and what it knows as it begins
+Feature: the decider of a service and the state that a new decider starts with
 
-  Scenario: a daemon that comes back does not take its services again
-    # A round of restarts stops each daemon in turn. The first choice for a
-    # service left, another took over, and ten seconds later the first was back
-    # and took the service again: its queue was split twice in place of once.
-    Given three daemons, one of which decides for a service
-    When it leaves, another one decides, and the first comes back
-    Then the other one still decides
+  Scenario: a daemon that comes back does not take over its services again
+    # In a rolling restart the preferred daemon of a service leaves, another one
+    # becomes the decider, and the first returns. If it became the decider again
+    # the queue of the service would be split twice instead of once.
+    Given three daemons, one of which is the decider of a service
+    When it leaves, another one becomes the decider, and the first comes back
+    Then the other one is still the decider
 
-  Scenario: two daemons that both say they decide come to one
-    # Two parts of a fleet did not hear of each other for a while. Each had a
-    # decider. All must choose the same one of them without a message.
-    Given three daemons, one of which decides for a service
-    When two of them say that they decide for it
+  Scenario: two daemons that both announce themselves as decider resolve to one
+    # After a network partition each part has a decider. All daemons must choose
+    # the same one of them without exchanging messages.
+    Given three daemons, one of which is the decider of a service
+    When two of them announce that they are its decider
     Then all three choose the same one of the two
 
-  Scenario: a large host takes a service from a small one
-    # The large hosts were down together and a small one took over. Its link
-    # cannot carry the batches of all.
-    Given three daemons, one of which decides for a service
-    When a small host decides and a large one comes
-    Then the large one decides
+  Scenario: a large host takes over a service from a small one
+    # While all large hosts were down a small host became the decider. Its link
+    # cannot carry the batches of all daemons.
+    Given three daemons, one of which is the decider of a service
+    When a small host is the decider and a large one joins
+    Then the large one becomes the decider
 
-  Scenario: a new decider knows what results the makers hold
-    # The decider died with results in the makers' memory. Its successor knew
-    # of none, sent full calls, and got "no room" for their pieces.
-    Given a daemon whose request holds 4 of a maker's 4 results
-    When another daemon decides for the stage and is told
-    Then it sends the maker nothing until they are freed
+  Scenario: a new decider knows which results the stage replicas store
+    # The decider fails while results are in the memory of stage replicas. A
+    # successor without that state sends full calls, and their pieces are refused
+    # for want of memory.
+    Given a daemon whose requests store 4 results in a replica with memory for 4
+    When another daemon becomes the decider of the stage and gets its snapshot
+    Then it sends nothing to the replica until results are freed
 
-  Scenario: a new decider sends a subject to the engine that has read it
-    # A subject of 13,000 tokens had moved from its home to an engine with less
-    # work. The next decider sent it home, to be read again.
-    Given a daemon whose requests of a subject were read away from its home
-    When another daemon decides for the engines and is told
-    Then it places the subject where it was read
-    And it counts the request that still runs there
+  Scenario: a new decider sends a subject to the engine that has cached it
+    # A subject of 13,000 tokens moved from its preferred engine to one with less
+    # load. A new decider without that state sends it back, for another prefill.
+    Given a daemon whose requests of a subject ran on a non-preferred engine
+    When another daemon becomes the decider of the engines and gets its snapshot
+    Then it places the subject on the engine that has cached it
+    And it counts the request that is still running there
 
-  Scenario: a briefing survives the way between daemons
-    Given a daemon whose request holds 4 of a maker's 4 results
-    When its briefing is sent as JSON
-    Then what is read is what was written, and nonsense is refused
+  Scenario: a resource snapshot is encoded and decoded without loss
+    Given a daemon whose requests store 4 results in a replica with memory for 4
+    When its snapshot is sent as JSON
+    Then the decoded snapshot equals the original, and malformed ones are refused
 
-  Scenario: a daemon tells a new decider once
-    # Each request asks who decides. Told with each of them, a briefing of some
-    # kilobytes would fill small links.
-    Given a daemon that asked one decider before
-    When another one decides from now on
-    Then the new one gets one briefing, and then none
+  Scenario: a daemon sends its snapshot to a new decider once
+    # Each request looks up the decider. A snapshot of some kilobytes sent each
+    # time would fill small links.
+    Given a daemon that sent work to one decider before
+    When another one is the decider from now on
+    Then the new one gets one snapshot, and no more
 
-  Scenario: members are counted once for many questions
-    # Some thirty questions a request ask who decides. Counted and hashed anew
-    # each time, 75 members took a third of each daemon's processor time.
+  Scenario: members are listed once for many decider look-ups
+    # Each request looks up the decider some thirty times. Listing and hashing
+    # 75 members each time took a third of each daemon's processor time.
     Given a daemon among 75 members
-    When it is asked a thousand times who decides, within 40 ms
+    When the decider is looked up a thousand times within 40 ms
     Then the members were listed once
     And a member that leaves is left out 60 ms later
 
-  Scenario: a daemon that has just answered is not asked whether it is alive
-    # Beside each other's messages the questions were two fifths of all that
-    # daemons sent.
+  Scenario: a daemon that has just answered is not probed
+    # Probes in addition to the daemons' other messages were two fifths of all
+    # messages between daemons.
     Given a daemon that waits for another one, which keeps on answering
     When two seconds pass
-    Then it asked nothing, and asks once the answers stop
+    Then it sent no probes, and sends them once the answers stop
 
-  Scenario: daemons that disagreed come to one decider, and it stays
-    # Messages are late, lost or crossed; daemons stop, come back, and take each
-    # other for silent. While they disagree two of them batch for one service.
-    # Once they hear of each other again all must ask the same one, the one from
-    # before if it is still there.
+  Scenario: daemons that disagreed converge on one decider, which stays
+    # Gossip is delayed, lost or reordered; daemons stop, come back, and take
+    # each other for silent. While they disagree two of them batch for one
+    # service. Once they receive each other's gossip again all must choose the
+    # same decider: the former one, if it is still a member.
     When the decider machine runs 40 examples
-    Then no example breaks what must hold
-    And it is broken where the hash alone decides, and where each prefers itself
+    Then no example violates an invariant
+    And the invariants fail with the hash alone, and with self-preferring daemons
 
-  Scenario: a daemon says that it decides after a second of it
-    # As a decider left, each daemon that took it for itself first said so at once,
-    # and a service went back and forth thirteen times in two seconds.
-    Given a daemon that is asked to decide for a service
-    When it looks again every 200 ms
-    Then it says nothing for the first second, and that it decides after it
+  Scenario: a daemon announces itself as decider after one second
+    # As a decider left, each daemon that ranked itself first announced this at
+    # once, and the service switched deciders thirteen times in two seconds.
+    Given a daemon that schedules work of a service
+    When its decided services are updated every 200 ms
+    Then it announces nothing for the first second, and the service after it
--- a/features/serving/decisions.feature
+++ b/features/serving/decisions.feature
@@ -1,128 +1,131 @@
-Feature: the decisions of serving, without a network
+Feature: decisions about requests, replicas and engines, without a network
 
-  Scenario: the longest prefix at a slash selects the route
-    # Two routes of a host begin the same way. A request for the longer one
-    # must not reach the other's service, nor one that merely begins alike.
+  Scenario: the longest matching path prefix selects the route
+    # Two routes of a host have paths that begin the same way. A request for the
+    # longer one must not reach the other's service, nor must a path that only
+    # shares the first letters.
     When requests are matched against routes of two hosts
     Then each finds the longest prefix of its own host, or none
 
-  Scenario: a configuration never goes back
-    # A late answer brings an older version after the newer one is in force.
-    # Dropped routes would be served again and removed keys accepted.
+  Scenario: a configuration is never replaced by an older version
+    # A delayed answer delivers an older version after the newer one is in
+    # force. Removed routes would be served again and removed keys accepted.
     Given a deployment with version 7 in force
     When versions 3, 7 and 9 are applied in turn
     Then only version 9 is put in force
 
-  Scenario: a replica that said it leaves gets no work until it is born anew
-    # The list lags by a second. A replica that answers for another one has
-    # lost its address; whoever goes by the list sends it more.
+  Scenario: a replica that reports it is leaving gets no work until it restarts
+    # The list of replicas lags by a second. A replica that answers for another
+    # one has lost its address; by the list alone it would get more work.
     Given a deployment with two replicas of a service
     When one of them turns out to have another's address
     Then only the other one may be used
-    And it may be used again once the list tells of a new start under its id
+    And it may be used again once the list shows a new start under its id
 
-  Scenario: a customer's priority goes before its route's
-    # All customers have the same priority. Taken alone it puts a digest that a
-    # crew waits for in the road behind a question that can wait.
+  Scenario: a customer's priority takes precedence over its route's
+    # With the customer's priority alone, where all customers have the same, an
+    # urgent request queues behind one that can wait.
     Given a deployment with routes of priority 0 and 2
     When customers of priority 0, 1 and of none ask on both
     Then customers come first, routes decide among equals, and alone without
 
   Scenario: a replica that drains gets no new work
-    # A replica reports that it drains while a request's stages are still
-    # being made for it. The choice of before must not hold.
+    # A replica reports that it drains while the stages of a request are still
+    # being computed. A choice made before must not remain in effect.
     Given a deployment with two replicas of a service
     When one of them reports that it drains
     Then only the other one may be used
 
-  Scenario: retries of all daemons keep to the shared allowance
-    # Six daemons each see a failing service. If each spends the whole
-    # allowance it is exceeded sixfold and an outage is multiplied.
+  Scenario: retries of all daemons stay within the shared allowance
+    # Six daemons each detect a failing service. If each spends the whole
+    # allowance it is exceeded sixfold and an outage is amplified.
     When six daemons spend retries as fast as they may for a minute
     Then no window of ten seconds holds more than the allowance
-    And daemons that ignore the others break it
+    And daemons that ignore the others exceed it
 
   Scenario: a replica that fails part of its requests loses most of them
-    # It answers its health check and fails four of ten requests. Nothing but
-    # the outcomes shows it. Once it is well it must get its share back.
+    # It answers its health check and fails four of ten requests. Only the
+    # outcomes show this. Once it recovers it must get its share back.
     When one of three replicas fails four of ten requests for a while
     Then it gets less than a tenth of the requests meanwhile
     And at least a fifth of them soon after it is well
 
   Scenario: requests of one subject stay on one engine
-    # An engine that has read a subject's long prompt reads it no more.
+    # An engine that has cached a subject's long prompt skips its prefill.
     When 300 requests of 30 subjects are placed on five engines
-    Then each subject's part is read by one engine, few by two
+    Then each subject's part is prefilled by one engine, few by two
 
   Scenario: a hot subject spreads over the engines
-    # Half of the traffic is suddenly about one thing. Its one engine would
-    # serve it alone while four idle.
+    # Half of the traffic suddenly has one subject. Its single engine would
+    # serve it alone while four are idle.
     When 60 requests of one subject are placed on five engines at once
     Then no engine has more than twice its share of them
 
   Scenario: a short prompt does not queue behind a long one
-    # A prompt of 50,000 tokens takes a second to read. Counted as one request
-    # it looks like any other.
+    # The prefill of a prompt of 50,000 tokens takes a second. If only requests
+    # are counted it looks like any other.
     When a prompt of 50000 tokens is placed and then ten short ones
     Then none of the short ones goes to the long one's engine
 
-  Scenario: an engine that fails requests is left
-    # Its port answers and its requests break off.
+  Scenario: an engine that fails requests is avoided
+    # It accepts connections but its requests are aborted.
     When an engine fails the first three requests it gets
     Then the next ten requests go to other engines
 
-  Scenario: a placer that knows nothing sends subjects to where they were
-    # The daemon that decided dies and another one begins without its
-    # knowledge. Every subject would be read again somewhere else.
-    When two placers that know nothing place 40 subjects
+  Scenario: a placer without state sends subjects to the engines they were on
+    # The decider fails and another daemon takes over without its state. Without
+    # preferred engines every subject would be prefilled again elsewhere.
+    When two placers without state place 40 subjects
     Then both place at least 30 of them on the same engine
 
-  Scenario: the memory of a placer is bounded by its engines' own
-    # Engines forget what was used least; a placer that does not counts on
-    # prompts that are long gone.
+  Scenario: a placer counts no more cached tokens than its engines can store
+    # Engines evict the least recently used prompts. A placer that does not would
+    # rely on prompts that are no longer cached.
     When 500 subjects of 20000 tokens are placed on one engine
-    Then the placer believes in no more than the engine's memory
+    Then the placer counts no more cached tokens than the engine can store
 
-  Scenario: a daemon that no longer decides names the one that does
-    # A decider leaves. For half a second some daemons have not heard of it and
-    # ask it all the same; deciding for themselves they would fill calls alone.
+  Scenario: a daemon that is no longer the decider redirects to the one that is
+    # A decider leaves. For half a second some daemons have not received this
+    # and still send it work. If they scheduled it themselves, each would fill
+    # calls with its own pieces only.
     Given three daemons of which one decides for a service
-    When it says that another one decides by now
-    Then that one is asked, until gossip has had its time
+    When it redirects to another one
+    Then that one is called until the redirect expires
     And not if it is silent, and not if it is this daemon itself
 
   Scenario: results are freed once nothing needs them
-    # Results of the first stage lay in their makers' memory until the request
-    # was answered, and the first stage could make no more of them.
+    # Results of the first stage stayed in the replicas' memory until the request
+    # was answered, and the first stage could not store new ones.
     Given stages of which none is behind
     When a request runs through both of them
     Then the first one's results are freed, and not the ones the request needs
 
-  Scenario: pieces are made where most of their inputs lie
-    # Each piece fetches all results of the stage before, between data centres
-    # if its replica stands elsewhere.
+  Scenario: pieces are computed where most of their inputs are stored
+    # Each piece fetches all results of the preceding stage, from another data
+    # centre if its replica is located elsewhere.
     When pieces with two inputs here and one there are queued
-    Then they belong here
+    Then they are assigned to the data centre of the two
 
-  Scenario: a request that would not come through is refused at its arrival
-    # The first stage is free and the second one is seconds behind. Begun, the
-    # request takes the first one's time and is given up in the second's queue.
+  Scenario: a request that could not meet its deadline is refused on arrival
+    # The first stage is idle and the second has a backlog of seconds. If the
+    # request started, it would use the first one's time and then expire in the
+    # queue of the second.
     Given stages of which the second is 5 seconds behind
     When a request comes whose caller waits 2 seconds, and one that waits 9
-    Then the first is refused unrun with a time to come back, and begins nothing
-    And the second is made
+    Then the first is refused as not run with a retry time, and starts no stage
+    And the second one's results are computed
 
-  Scenario: the parts of a request's graph that are left out pass inputs on
-    # A request may leave out a stage. Its followers work on what that stage
-    # would have worked on; given nothing they would make a wrong result.
+  Scenario: an omitted stage passes its inputs on to the stages after it
+    # A request may omit a stage. The stages after it then take its inputs;
+    # without any inputs they would compute a wrong result.
     When a graph of four stages runs with its second stage left out
     Then the third stage works on the first one's results
     And the request itself needs the results of the last stage alone
 
   Scenario: a replica gets no more connections than this daemon's share
-    # A booking desk stalls. Its replicas accept 96 connections from all callers
-    # and reset what comes beyond: crews were told that the outcome of a booking
-    # was unknown, though nothing had run.
+    # The replicas of a booking desk accept 96 connections from all callers and
+    # reset further ones. When they stalled, crews were told that the outcome of
+    # a booking was unknown, although nothing had run.
     Given a replica that accepts 96 connections from six daemons
     When twelve requests are under way there from one daemon
     Then another one fits, and none after it until one has ended
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -1,4 +1,4 @@
-"""Steps of who decides for a service, and what daemons tell a new decider."""
+"""Steps for the choice of deciders and the state sent to a new decider."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     machine_fails,
 )
 from features.support.decider_machine import (
-    ByHashMachine,
     DeciderMachine,
+    HashOnlyMachine,
     Node,
-    OwnFirstMachine,
+    SelfPreferringMachine,
 )
 from standins.virtual import run_virtual
 
@@ -63,47 +63,49 @@
     return PeerDaemon(**{**fields, **changes})
 
 
-def _first(daemons):
+def _decider_name(daemons):
     return peers.ranked(SERVICE, daemons, {})[0].name
 
 
-def _says(daemon):
+def _announcing(daemon):
     return attrs.evolve(daemon, decides=frozenset({mark_of(SERVICE)}))
 
 
-@given("three daemons, one of which decides for a service")
-def three(context):
+@given("three daemons, one of which is the decider of a service")
+def three_daemons(context):
     context.daemons = {n: _daemon(n) for n in ("d1", "d2", "d3")}
-    context.usual = _first(context.daemons.values())
-    context.daemons[context.usual] = _says(context.daemons[context.usual])
+    context.preferred = _decider_name(context.daemons.values())
+    context.daemons[context.preferred] = _announcing(
+        context.daemons[context.preferred]
+    )
 
 
-@when("it leaves, another one decides, and the first comes back")
-def leaves(context):
-    left = context.daemons.pop(context.usual)
-    context.next = _first(context.daemons.values())
-    assert context.next != context.usual
-    context.daemons[context.next] = _says(context.daemons[context.next])
+@when("it leaves, another one becomes the decider, and the first comes back")
+def decider_leaves(context):
+    left = context.daemons.pop(context.preferred)
+    context.next = _decider_name(context.daemons.values())
+    assert context.next != context.preferred
+    context.daemons[context.next] = _announcing(context.daemons[context.next])
     context.daemons[left.name] = attrs.evolve(left, decides=frozenset())
 
 
-@then("the other one still decides")
-def still(context):
-    assert _first(context.daemons.values()) == context.next
+@then("the other one is still the decider")
+def still_decider(context):
+    assert _decider_name(context.daemons.values()) == context.next
 
 
-@when("two of them say that they decide for it")
-def two_say(context):
-    context.both = [n for n in context.daemons if n != context.usual]
-    context.daemons[context.usual] = _daemon(context.usual)
-    for name in context.both:
-        context.daemons[name] = _says(context.daemons[name])
+@when("two of them announce that they are its decider")
+def two_announce(context):
+    context.announcing = [n for n in context.daemons if n != context.preferred]
+    context.daemons[context.preferred] = _daemon(context.preferred)
+    for name in context.announcing:
+        context.daemons[name] = _announcing(context.daemons[name])
 
 
 @then("all three choose the same one of the two")
-def same(context):
+def same_decider(context):
     chosen = {
-        _first([attrs.evolve(d, own=d.name == own) for d in order])
+        _decider_name([attrs.evolve(d, own=d.name == own) for d in order])
         for own in context.daemons
         for order in (
             list(context.daemons.values()),
@@ -111,24 +113,24 @@
         )
     }
     assert len(chosen) == 1
-    assert chosen <= set(context.both), chosen
+    assert chosen <= set(context.announcing), chosen
 
 
-@when("a small host decides and a large one comes")
-def large_comes(context):
+@when("a small host is the decider and a large one joins")
+def large_joins(context):
     context.daemons = {
-        "small": _says(_daemon("small", size=-2)),
+        "small": _announcing(_daemon("small", size=-2)),
         "large": _daemon("large", settled=False),
     }
 
 
-@then("the large one decides")
-def large(context):
-    assert _first(context.daemons.values()) == "large"
+@then("the large one becomes the decider")
+def large_decides(context):
+    assert _decider_name(context.daemons.values()) == "large"
 
 
-@given("a daemon whose request holds 4 of a maker's 4 results")
-def holds(context):
+@given("a daemon whose requests store 4 results in a replica with memory for 4")
+def results_stored(context):
     context.clock = HandClock()
     context.tracker = ResourceTracker(clock=context.clock)
     names = [f"m1/{n}" for n in range(5)]
@@ -137,8 +139,8 @@
     context.clock.ms += 500.0
 
 
-@when("another daemon decides for the stage and is told")
-def told_results(context):
+@when("another daemon becomes the decider of the stage and gets its snapshot")
+def results_snapshot(context):
     context.queue = StageQueue(
         clock=context.clock, spec=batch_spec(result_room_bytes=4 * MB)
     )
@@ -148,7 +150,7 @@
     context.queue.add(group("a", 3, context.clock.ms, ends_at=60_000.0))
 
 
-@then("it sends the maker nothing until they are freed")
+@then("it sends nothing to the replica until results are freed")
 def sends_nothing(context):
     assert context.queue.next_batch(["m1"]) is None
     context.queue.freed("m1", ["m1/0", "m1/1"])
@@ -156,14 +158,14 @@
     assert context.queue.next_batch(["m1"]) is None
 
 
-def _prompt(own):
+def _prompt(own_part):
     return Generation(
         model="m",
         prompt_tokens=14_000,
         output_tokens=100,
         parts=(
             PromptPart(name="subject", tokens=13_000),
-            PromptPart(name=own, tokens=1_000),
+            PromptPart(name=own_part, tokens=1_000),
         ),
     )
 
@@ -182,24 +184,26 @@
     ]
 
 
-@given("a daemon whose requests of a subject were read away from its home")
-def read_away(context):
+@given("a daemon whose requests of a subject ran on a non-preferred engine")
+def cached_elsewhere(context):
     context.clock = HandClock()
-    usual = EnginePlacer(clock=context.clock).place(
+    preferred = EnginePlacer(clock=context.clock).place(
         "p", _prompt("x"), _engines(), ENGINE
     )
-    context.away = next(e for e in _engines() if e.name != usual.name).name
+    context.cached_at = next(
+        e for e in _engines() if e.name != preferred.name
+    ).name
     context.tracker = ResourceTracker(clock=context.clock)
     for number in range(2):
         context.tracker.record_placement(
-            "pool", f"p{number}", context.away, _prompt(f"own{number}")
+            "pool", f"p{number}", context.cached_at, _prompt(f"own{number}")
         )
         context.tracker.record_first_token("pool", f"p{number}")
     context.tracker.record_end("pool", "p0")
 
 
-@when("another daemon decides for the engines and is told")
-def told_prompts(context):
+@when("another daemon becomes the decider of the engines and gets its snapshot")
+def prompts_snapshot(context):
     context.placer = EnginePlacer(clock=context.clock)
     for prompt in context.tracker.snapshot("pool").prompts:
         context.placer.record_cached_prompt(
@@ -214,21 +218,21 @@
             )
 
 
-@then("it places the subject where it was read")
-def placed_there(context):
+@then("it places the subject on the engine that has cached it")
+def placed_on_cached(context):
     chosen = context.placer.locate(_prompt("new"), _engines(), ENGINE)
-    assert chosen.name == context.away, chosen
+    assert chosen.name == context.cached_at, chosen
 
 
-@then("it counts the request that still runs there")
+@then("it counts the request that is still running there")
 def counts_running(context):
-    assert context.placer.running(context.away) == 1
+    assert context.placer.running(context.cached_at) == 1
     context.placer.record_end("p1", failed=False)
-    assert context.placer.running(context.away) == 0
+    assert context.placer.running(context.cached_at) == 0
 
 
-@when("its briefing is sent as JSON")
-def as_json(context):
+@when("its snapshot is sent as JSON")
+def snapshot_as_json(context):
     context.tracker.record_placement("stage", "p1", "e1", _prompt("own"))
     context.snapshot = context.tracker.snapshot(SERVICE)
     context.decoded = decode_snapshot(
@@ -236,26 +240,28 @@
     )
 
 
-@then("what is read is what was written, and nonsense is refused")
-def read_back(context):
+@then(
+    "the decoded snapshot equals the original, and malformed ones are refused"
+)
+def decoded_equals(context):
     assert context.decoded == context.snapshot
-    for nonsense in ({}, {"results": [["a"]], "prompts": []}):
+    for malformed in ({}, {"results": [["a"]], "prompts": []}):
         try:
-            decode_snapshot(nonsense)
+            decode_snapshot(malformed)
         except (KeyError, TypeError, ValueError):
             continue
-        raise AssertionError(nonsense)
+        raise AssertionError(malformed)
 
 
 class TwoDeciders(PeerDaemons):
-    """Two other daemons, and a word on who decides."""
+    """Three daemons, one of the other two announced as the decider."""
 
     def __init__(self):
         self.decider = "d2"
 
     def all(self):
         return tuple(
-            _says(daemon) if daemon.name == self.decider else daemon
+            _announcing(daemon) if daemon.name == self.decider else daemon
             for daemon in (
                 _daemon("d1", own=True),
                 _daemon("d2"),
@@ -267,30 +273,30 @@
         return 3
 
 
-class NotingNetwork:
-    """Makes every piece and keeps the notes."""
+class RecordingNetwork:
+    """Computes every piece and records the notifications."""
 
     def __init__(self):
-        self.notes = []
+        self.notifications = []
 
     async def fetch(self, address, request, options):
         del options
         body = orjson.loads(request.body) if request.body else {}
         if request.path == NOTIFICATIONS_PATH:
-            self.notes += [(address, *note) for note in body["notes"]]
+            self.notifications += [(address, *entry) for entry in body["notes"]]
             return Ok(json_response({}))
         handles = [f"m1/{piece[2]}" for piece in body.get("pieces", ())]
         return Ok(json_response({"handles": handles, "backlog": [0, 0]}))
 
 
-@given("a daemon that asked one decider before")
-def asked_before(context):
+@given("a daemon that sent work to one decider before")
+def one_decider_before(context):
     context.daemons = TwoDeciders()
-    context.network = NotingNetwork()
+    context.network = RecordingNetwork()
 
 
-@when("another one decides from now on")
-def another_now(context):
+@when("another one is the decider from now on")
+def another_decider_now(context):
     async def run():
         clock = EventLoopClock()
         watch = PeerWatch(clock=clock, network=context.network)
@@ -301,7 +307,7 @@
                 clock=clock, daemons=context.daemons, watch=watch
             ),
             watch=watch,
-            decider=NeverDecides(),
+            decider=UnusedDecider(),
             deployment=Deployment(clock=clock),
             announce=lambda: None,
         )
@@ -317,8 +323,8 @@
     run_virtual(run)
 
 
-class NeverDecides:
-    """Stands for a decider that is not asked."""
+class UnusedDecider:
+    """Stub of a decider that gets no work."""
 
     active_services = ()
 
@@ -342,15 +348,19 @@
     )
 
 
-@then("the new one gets one briefing, and then none")
-def one_briefing(context):
-    told = [note for note in context.network.notes if note[1] == "briefing"]
-    assert [note[0] for note in told] == ["d3:1"], told
-    assert [r[0] for r in told[0][3]["results"]] == ["m1/0"]
+@then("the new one gets one snapshot, and no more")
+def one_snapshot(context):
+    sent = [
+        entry
+        for entry in context.network.notifications
+        if entry[1] == "briefing"
+    ]
+    assert [entry[0] for entry in sent] == ["d3:1"], sent
+    assert [r[0] for r in sent[0][3]["results"]] == ["m1/0"]
 
 
 class ManyMembers:
-    """Membership of 75 daemons, which counts how often it is listed."""
+    """Membership of 75 daemons that counts how often it is listed."""
 
     def __init__(self):
         self.names = [f"d{n}" for n in range(75)]
@@ -400,8 +410,8 @@
     )
 
 
-@when("it is asked a thousand times who decides, within 40 ms")
-def asked_often(context):
+@when("the decider is looked up a thousand times within 40 ms")
+def many_lookups(context):
     for number in range(1_000):
         context.clock.ms += 0.04
         context.first = context.deciders.decider_by_membership(f"s{number % 5}")
@@ -421,15 +431,15 @@
 
 
 class CountingNetwork:
-    """Answers every question, and counts them."""
+    """Answers every probe and counts the probes."""
 
     def __init__(self):
-        self.asked = 0
+        self.probes = 0
 
     async def fetch(self, address, request, options):
         del address, options
         assert request.path == ALIVE_PATH
-        self.asked += 1
+        self.probes += 1
         return Ok(json_response({}))
 
 
@@ -450,55 +460,57 @@
                 for _ in range(40):
                     watch.heard(peer.address)
                     await anyio.sleep(0.05)
-                context.asked = context.network.asked
+                context.probes = context.network.probes
                 await anyio.sleep(0.5)
-            context.asked_later = context.network.asked
+            context.probes_later = context.network.probes
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
 
 
-@then("it asked nothing, and asks once the answers stop")
-def asked_nothing(context):
-    assert context.asked == 0, context.asked
-    assert 1 <= context.asked_later <= 3, context.asked_later
+@then("it sent no probes, and sends them once the answers stop")
+def no_probes(context):
+    assert context.probes == 0, context.probes
+    assert 1 <= context.probes_later <= 3, context.probes_later
 
 
 @when("the decider machine runs 40 examples")
 def run_machine(context):
-    context.broken = machine_fails(DeciderMachine, 40)
+    context.violation = machine_fails(DeciderMachine, 40)
 
 
-@then("no example breaks what must hold")
-def nothing_broken(context):
-    assert not context.broken, context.broken
+@then("no example violates an invariant")
+def no_violation(context):
+    assert not context.violation, context.violation
 
 
 @then(
-    "it is broken where the hash alone decides, and where each prefers itself"
+    "the invariants fail with the hash alone, and with self-preferring daemons"
 )
-def naive_broken(context):
-    assert "lost it to" in machine_fails(ByHashMachine, 40)
-    assert "they ask" in machine_fails(OwnFirstMachine, 40)
+def naive_versions_fail(context):
+    assert "was replaced by" in machine_fails(HashOnlyMachine, 40)
+    assert "daemons choose" in machine_fails(SelfPreferringMachine, 40)
 
 
-@given("a daemon that is asked to decide for a service")
-def asked_to_decide(context):
+@given("a daemon that schedules work of a service")
+def schedules_work(context):
     context.clock = HandClock()
     context.node = Node("d1", context.clock, None)
 
 
-@when("it looks again every 200 ms")
-def looks_again(context):
-    context.told_at = {}
+@when("its decided services are updated every 200 ms")
+def updates(context):
+    context.announced_at = {}
     for _ in range(8):
         context.node.decided.update([SERVICE])
-        context.told_at[context.clock.ms] = context.node.decided.service_hashes
+        context.announced_at[context.clock.ms] = (
+            context.node.decided.service_hashes
+        )
         context.clock.ms += 200.0
 
 
-@then("it says nothing for the first second, and that it decides after it")
-def says_after_a_second(context):
-    for at, marks in context.told_at.items():
-        said = marks == frozenset({mark_of(SERVICE)})
-        assert said == (at >= 1_000.0), (at, marks)
+@then("it announces nothing for the first second, and the service after it")
+def announces_after_a_second(context):
+    for at, hashes in context.announced_at.items():
+        announced = hashes == frozenset({mark_of(SERVICE)})
+        assert announced == (at >= 1_000.0), (at, hashes)
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -214,7 +214,7 @@
     assert not context.deployment.may_use(context.first)
 
 
-@then("it may be used again once the list tells of a new start under its id")
+@then("it may be used again once the list shows a new start under its id")
 def check_reborn(context):
     context.deployment.put_replica(replica("r1", born=9))
     names = {r.name for r in context.deployment.usable("plain")}
@@ -260,7 +260,7 @@
     assert context.excess <= 0, context.excess
 
 
-@then("daemons that ignore the others break it")
+@then("daemons that ignore the others exceed it")
 def check_naive_retries(context):
     assert context.naive_excess > 0, context.naive_excess
 
@@ -340,7 +340,7 @@
         placer.record_end(str(number), failed=False)
 
 
-@then("each subject's part is read by one engine, few by two")
+@then("each subject's part is prefilled by one engine, few by two")
 def check_subjects(context):
     reads = [len(names) for names in context.places.values()]
     assert sum(reads) <= 30 + 3, reads
@@ -404,7 +404,7 @@
     assert context.first_failing not in context.after, context.after
 
 
-@when("two placers that know nothing place 40 subjects")
+@when("two placers without state place 40 subjects")
 def two_placers(context):
     context.same = 0
     for subject in range(40):
@@ -415,8 +415,8 @@
             chosen.append(
                 placer.place("y", prompt(subject), engines(5), ENGINE).name
             )
-        homes = EnginePlacer(clock=HandClock())
-        alone = homes.place("z", prompt(subject), engines(5), ENGINE).name
+        fresh = EnginePlacer(clock=HandClock())
+        alone = fresh.place("z", prompt(subject), engines(5), ENGINE).name
         context.same += chosen[0] == chosen[1] == alone
 
 
@@ -435,12 +435,12 @@
             str(subject), prompt(subject, shared=20_000), engines(1), ENGINE
         )
         placer.record_end(str(subject), failed=False)
-    context.believed = placer._engines["e0"].cached_tokens
+    context.counted = placer._engines["e0"].cached_tokens
 
 
-@then("the placer believes in no more than the engine's memory")
+@then("the placer counts no more cached tokens than the engine can store")
 def check_filled(context):
-    assert 0 < context.believed <= ENGINE.kv_tokens, context.believed
+    assert 0 < context.counted <= ENGINE.kv_tokens, context.counted
 
 
 class ThreeDaemons(PeerDaemons):
@@ -473,16 +473,16 @@
     context.usual = context.deciders.decider_of("service").name
 
 
-@when("it says that another one decides by now")
-def says_moved(context):
+@when("it redirects to another one")
+def redirects(context):
     context.other = "d3" if context.usual == "d2" else "d2"
     context.deciders.apply_redirect(
         "service", [context.other, f"{context.other}:1", "here"]
     )
 
 
-@then("that one is asked, until gossip has had its time")
-def check_moved(context):
+@then("that one is called until the redirect expires")
+def check_redirected(context):
     assert context.deciders.decider_of("service").name == context.other
     assert (
         context.deciders.decider_by_membership("service").name == context.usual
@@ -492,8 +492,8 @@
 
 
 @then("not if it is silent, and not if it is this daemon itself")
-def check_not_moved(context):
-    says_moved(context)
+def check_not_redirected(context):
+    redirects(context)
     peer = context.deciders.decider_of("service")
     context.watch.mark_silent(peer, detail="test")
     assert context.deciders.decider_of("service").name != context.other
@@ -585,7 +585,7 @@
     run_virtual(run)
 
 
-@then("they belong here")
+@then("they are assigned to the data centre of the two")
 def check_belong(context):
     assert context.group.data_centre == "here"
 
@@ -623,7 +623,7 @@
     return run_virtual(context.runner.run, request, results)
 
 
-@then("the first is refused unrun with a time to come back, and begins nothing")
+@then("the first is refused as not run with a retry time, and starts no stage")
 def check_refused_at_arrival(context):
     failure = context.refused.unwrap_err()
     assert failure.kind is FailureKind.OVERLOADED
@@ -632,7 +632,7 @@
     assert context.begun == []
 
 
-@then("the second is made")
+@then("the second one's results are computed")
 def check_second_made(context):
     assert context.served.unwrap() == ["narrow/0", "narrow/1"]
 
--- a/features/support/decider_machine.py
+++ b/features/support/decider_machine.py
@@ -1,7 +1,7 @@
-"""Daemons that hear of each other late, in any order, or not at all.
+"""State machine of daemons with delayed, reordered or lost gossip.
 
-The oracle is what must hold once they have heard of each other again: all ask
-the same daemon, and it is the one that decided before if that is still there.
+Invariant once they have received each other's gossip again: all choose the same
+decider, and it is the former one if that is still a member.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 SERVICE = "stage"
 ROUND_MS = 200.0
 ROUNDS = 20
-"""Twice the time after which a daemon tells that it decides, and as long as a
-daemon is avoided after it was silent, with a margin."""
+"""Twice the delay before a daemon announces itself as decider, and as long as a
+silent daemon is avoided, with a margin."""
 
 
 class HandClock:
-    """A clock that is moved by hand."""
+    """A clock that is advanced manually."""
 
     def __init__(self):
         self.ms = 0.0
@@ -35,7 +35,7 @@
 
 
 class Node(PeerDaemons):
-    """One daemon and what it has heard of the others."""
+    """One daemon and the gossip that it has received from the others."""
 
     def __init__(self, name, clock, world):
         self.name = name
@@ -51,9 +51,9 @@
             clock=self.clock, daemons=self, watch=self.watch
         )
         self.decided = DecidedServices(clock=self.clock, deciders=self.deciders)
-        self.asked_at = -10_000.0
+        self.used_at = -10_000.0
 
-    def told(self):
+    def announced(self):
         return PeerDaemon(
             name=self.name,
             address=f"{self.name}:1",
@@ -64,22 +64,22 @@
         )
 
     def all(self):
-        own = attrs.evolve(self.told(), own=True)
+        own = attrs.evolve(self.announced(), own=True)
         return (own, *(d for n, d in self.view.items() if n != self.name))
 
     def believed_count(self):
         return len(NAMES)
 
-    def first(self):
+    def decider(self):
         return self.deciders.decider_by_membership(SERVICE).name
 
-    def look(self):
-        asked = self.clock.ms - self.asked_at < 5_000.0
-        self.decided.update([SERVICE] if asked else [])
+    def update_decided(self):
+        used = self.clock.ms - self.used_at < 5_000.0
+        self.decided.update([SERVICE] if used else [])
 
 
 class DeciderMachine(RuleBasedStateMachine):
-    """Four daemons; messages, stops and silence in any order."""
+    """Four daemons with gossip, stops and silence in any order."""
 
     def __init__(self):
         super().__init__()
@@ -89,17 +89,17 @@
             self.nodes[name] = Node(name, self.clock, self)
         self.agreed = None
 
-    @rule(hearer=st.sampled_from(NAMES), teller=st.sampled_from(NAMES))
-    def hear(self, hearer, teller):
-        if hearer != teller:
-            told = self.nodes[teller].told()
-            self.nodes[hearer].view[teller] = told
+    @rule(receiver=st.sampled_from(NAMES), sender=st.sampled_from(NAMES))
+    def receive_gossip(self, receiver, sender):
+        if receiver != sender:
+            announced = self.nodes[sender].announced()
+            self.nodes[receiver].view[sender] = announced
 
-    @rule(hearer=st.sampled_from(NAMES), other=st.sampled_from(NAMES))
-    def silent(self, hearer, other):
-        if hearer != other:
-            told = self.nodes[other].told()
-            self.nodes[hearer].watch.mark_silent(told, detail="test")
+    @rule(receiver=st.sampled_from(NAMES), other=st.sampled_from(NAMES))
+    def silence(self, receiver, other):
+        if receiver != other:
+            announced = self.nodes[other].announced()
+            self.nodes[receiver].watch.mark_silent(announced, detail="test")
 
     @rule(name=st.sampled_from(NAMES))
     def stop(self, name):
@@ -115,68 +115,70 @@
             node.start()
 
     @rule(order=st.permutations(NAMES))
-    def pass_round(self, order):
+    def run_round(self, order):
         self.clock.ms += ROUND_MS
         for name in order:
             node = self.nodes[name]
             if node.ready:
-                self.nodes[node.first()].asked_at = self.clock.ms
-                node.look()
+                self.nodes[node.decider()].used_at = self.clock.ms
+                node.update_decided()
 
     @rule(order=st.permutations(NAMES))
     def heal(self, order):
         for _ in range(ROUNDS):
-            for hearer in order:
-                for teller in order:
-                    self.hear(hearer, teller)
-            self.pass_round(order)
+            for receiver in order:
+                for sender in order:
+                    self.receive_gossip(receiver, sender)
+            self.run_round(order)
         live = [node for node in self.nodes.values() if node.ready]
         if not live:
             return
-        firsts = {node.first() for node in live}
-        assert len(firsts) == 1, f"they ask {firsts}"
-        first = firsts.pop()
-        assert self.agreed in (None, first), f"{self.agreed} lost it to {first}"
-        self.agreed = first
+        deciders = {node.decider() for node in live}
+        assert len(deciders) == 1, f"daemons choose {deciders}"
+        decider = deciders.pop()
+        assert self.agreed in (None, decider), (
+            f"{self.agreed} was replaced by {decider}"
+        )
+        self.agreed = decider
 
     @rule(order=st.permutations(NAMES))
-    def come_back(self, order):
-        """All that are stopped start again and take nothing."""
+    def all_restart(self, order):
+        """Starts all stopped daemons, which must not become the decider."""
         self.heal(order)
         for name in order:
             self.start(name)
         self.heal(order)
 
     @invariant()
-    def somebody_is_asked(self):
+    def every_daemon_has_a_decider(self):
         for node in self.nodes.values():
-            assert node.first() in NAMES
+            assert node.decider() in NAMES
 
 
-class ByHashMachine(DeciderMachine):
-    """A naive version: the members' hash alone decides."""
+class HashOnlyMachine(DeciderMachine):
+    """Naive version: deciders are ranked by the hash of members alone."""
 
     def heal(self, order):
-        kept = peers.mark_of
+        original = peers.mark_of
         peers.mark_of = lambda service: -1
         try:
             super().heal(order)
         finally:
-            peers.mark_of = kept
+            peers.mark_of = original
 
 
-class OwnFirstMachine(DeciderMachine):
-    """A naive version: each daemon prefers itself once it has decided."""
+class SelfPreferringMachine(DeciderMachine):
+    """Naive version: each daemon prefers itself once it was the decider."""
 
     def heal(self, order):
-        kept = peers.ranked
+        original = peers.ranked
 
-        def own_first(service, daemons, silent):
-            found = kept(service, daemons, silent)
+        def self_first(service, daemons, silent):
+            found = original(service, daemons, silent)
             return sorted(found, key=lambda d: not (d.own and d.decides))
 
-        peers.ranked = own_first
+        peers.ranked = self_first
         try:
             super().heal(order)
         finally:
-            peers.ranked = kept
+            peers.ranked = original
