--- a/cactusdyke/serving/decider.py
+++ b/cactusdyke/serving/decider.py
@@ -266,7 +266,7 @@
         )
 
     def locate(self, service: str, generation: Generation) -> Replica | None:
-        """Returns the engine that would be chosen now, if it caches the prompt.
+        """Returns the engine that would be chosen now if it caches the subject.
 
         Nothing is counted. See `EnginePlacer.locate`.
         """
@@ -303,7 +303,7 @@
                 )
 
     def data_centre_of(self, handle: str) -> str:
-        """Returns a result's data centre, empty if its replica is gone."""
+        """Returns a result's data centre; empty if its replica was removed."""
         address = self._dialect.maker_of(handle)
         return self._deployment.data_centre_at(address)
 
--- a/cactusdyke/serving/decider_directory.py
+++ b/cactusdyke/serving/decider_directory.py
@@ -19,10 +19,10 @@
 class DeciderDirectory:
     """Finds deciders by membership and by redirects from former deciders.
 
-    The information that a daemon leaves takes half a second to reach all
-    daemons. Until then some still send work to the former decider. It answers
-    with a redirect to its successor, which they use at once instead of
-    scheduling the work themselves.
+    Gossip takes half a second to inform all daemons that one leaves. Until
+    then some still send work to the former decider. It answers with a redirect
+    to its successor, which they use at once instead of scheduling the work
+    themselves.
     """
 
     def __init__(
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -62,8 +62,8 @@
 """About the length of a call; below it memory is not the bottleneck."""
 EARLY_FREE_STABLE_MS = 3_000.0
 """Within this time all daemons agree on the decider. With two deciders, calls
-of one queue behind those of the other at the replicas and find their inputs
-freed: 1,700 pieces in a day of rolling stops."""
+of one queue wait at the replicas behind those of the other and find their
+inputs freed: 1,700 pieces in a day of rolling stops."""
 
 
 @attrs.frozen(kw_only=True)
@@ -313,7 +313,7 @@
         return replica.data_centre if replica else ""
 
     def data_centre_of(self, handle: str) -> str:
-        """Returns a result's data centre, empty if its replica is gone."""
+        """Returns a result's data centre; empty if its replica was removed."""
         return self._decider.data_centre_of(handle)
 
     def notify_first_token(self, chosen: ChosenEngine) -> None:
--- a/cactusdyke/serving/resource_tracker.py
+++ b/cactusdyke/serving/resource_tracker.py
@@ -29,7 +29,7 @@
 """Limit per service and daemon. At about 100 bytes each, a snapshot stays below
 what the link of a small host transmits in 30 ms."""
 PROMPT_RETENTION_MS = 30_000.0
-"""Engines evict the least recently used prompts; older ones are likely gone."""
+"""Engines evict the least recently used prompts, most likely the older ones."""
 MAX_RESULTS = 1_000
 """Limit per service and daemon."""
 
@@ -160,7 +160,7 @@
             return
         prompt.running = False
         if prompt.prefilling:
-            # The prompt may not have been prefilled; the engine may be gone.
+            # The engine may have failed before it prefilled the prompt.
             del self._resources(service).prompts[placement_id]
 
     def snapshot(self, service: str) -> ResourceSnapshot:
