--- a/cactusdyke/platform/addresses.py
+++ b/cactusdyke/platform/addresses.py
@@ -31,9 +31,9 @@
         """Returns where callers may connect."""
         zone = request.query.get("zone", "")
         daemons = addresses_for(
-            self._view.callers_may_use(), zone, most=MOST_ADDRESSES
+            self._view.daemons_for_callers(), zone, most=MOST_ADDRESSES
         )
-        addresses = [d.front_address for d in daemons]
+        addresses = [d.public_address for d in daemons]
         if not addresses:
             return json_response({}, status=503)
         return json_response({"addresses": addresses, "ttl_s": TTL_S})
--- a/cactusdyke/platform/follow.py
+++ b/cactusdyke/platform/follow.py
@@ -34,7 +34,7 @@
         super().__init__(kind=CONFIGURATION_KIND, store=store, clock=clock)
         self._deployment = deployment
 
-    def _applied(self, source: str) -> None:
+    def _apply_objects(self, source: str) -> None:
         entry = self._objects.get(CONFIGURATION_NAME)
         if entry is None:
             return
@@ -50,9 +50,9 @@
             return
         self._deployment.apply(decoded.ok_value, source=source)
 
-    def _changed(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         if change.object.name == CONFIGURATION_NAME and not change.deleted:
-            self._applied("store")
+            self._apply_objects("store")
 
 
 class ReplicaState(FollowedState):
@@ -64,7 +64,7 @@
         super().__init__(kind=REPLICAS_KIND, store=store, clock=clock)
         self._deployment = deployment
 
-    def _applied(self, source: str) -> None:
+    def _apply_objects(self, source: str) -> None:
         del source
         replicas = []
         for entry in self._objects.values():
@@ -75,7 +75,7 @@
                 replicas.append(decoded.ok_value)
         self._deployment.replace_replicas(replicas)
 
-    def _changed(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         entry = change.object
         if change.deleted:
             self._deployment.remove_replica(entry.name)
--- a/cactusdyke/platform/program.py
+++ b/cactusdyke/platform/program.py
@@ -92,7 +92,7 @@
     @property
     def ready(self) -> bool:
         """Whether callers may be sent here."""
-        informed = self._deployment.ready and self._core.quarantine.informed
+        informed = self._deployment.ready and self._core.quarantine.loaded
         return informed and not self._stopping.begun
 
     def _build(self) -> None:
@@ -118,13 +118,13 @@
         self._view = MemberView(
             clock=clock,
             members=self._members,
-            front_address=self._settings.front.address,
-            size=size_class(
+            public_address=self._settings.front.address,
+            size_class=size_class(
                 cores=self._settings.cores, link_mbps=self._settings.link_mbps
             ),
             ready=lambda: self.ready,
-            decides=lambda: self._core.decides,
-            least_count=lambda: max(
+            decided_hashes=lambda: self._core.decides,
+            min_count=lambda: max(
                 registry.registered_count, len(self._settings.seeds) + 1
             ),
             busy=lambda: load.busy,
@@ -160,8 +160,8 @@
             tracing=self._tracing,
         )
         registry.keep(self._core.quarantine)
-        self._core.quarantine.on_informed(self._announce_when_ready)
-        self._members.ride("crashes", self._core.quarantine.rider)
+        self._core.quarantine.on_loaded(self._announce_when_ready)
+        self._members.ride("crashes", self._core.quarantine.attachment)
         self._front = Front(
             host=self._settings.front.host,
             port=self._settings.front.port,
--- a/cactusdyke/platform/registry.py
+++ b/cactusdyke/platform/registry.py
@@ -113,7 +113,7 @@
 
     def _inform(self) -> None:
         if self._quarantine is not None:
-            self._quarantine.inform()
+            self._quarantine.mark_loaded()
 
     def _load_evidence(self, entry: StoreObject) -> None:
         told = isinstance(entry.spec, dict) and "crashes" in entry.spec
@@ -122,7 +122,7 @@
         try:
             saved = entry.spec["crashes"]
             passed_ms = max(0.0, self._clock.wall() - float(saved["at"]))
-            self._quarantine.take(saved["evidence"], passed_ms)
+            self._quarantine.merge(saved["evidence"], passed_ms)
         except (KeyError, TypeError, ValueError) as error:
             events.log(
                 events.Event.SERVING_ENTRY_REJECTED,
--- a/cactusdyke/serving/caller_addresses.py
+++ b/cactusdyke/serving/caller_addresses.py
@@ -41,7 +41,7 @@
     if calm < ENOUGH_NEAR or 2 * calm < len(near):
         return [*near, *far][:most]
     spare: dict[str, PeerDaemon] = {}
-    for daemon in sorted(far, key=lambda d: -d.size):
+    for daemon in sorted(far, key=lambda d: -d.size_class):
         spare.setdefault(daemon.data_centre, daemon)
     return [*near[: most - len(spare)], *spare.values()]
 
--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -102,7 +102,7 @@
         budget = RetryBudget(
             clock=clock,
             allowance=allowance,
-            daemons=daemons.believed_count,
+            daemons=daemons.estimated_count,
         )
         self._forwarder = Forwarder(
             clock=clock,
@@ -128,7 +128,7 @@
                 connections=ConnectionShare(
                     deployment=deployment,
                     health=health,
-                    daemons=daemons.believed_count,
+                    daemons=daemons.estimated_count,
                 ),
             ),
             health=health,
--- a/cactusdyke/serving/crash_suspects.py
+++ b/cactusdyke/serving/crash_suspects.py
@@ -17,20 +17,20 @@
 
     from cactusdyke.clock import Clock
 
-CRASHES = 3
+MIN_QUARANTINE_CRASHES = 3
 """Crashes with which a request is quarantined; one that is sound meets as many
 only if replicas crash again and again for other reasons."""
 SUSPECT_MS = 300_000.0
 QUARANTINE_MS = 1_800_000.0
 """From the last crash on; a new release of the replicas may be free of it."""
-FORGET_EVERY_MS = 1_000.0
-MOST_SUSPECTS = 1_024
-MOST_CRASHES = 16
+EXPIRY_INTERVAL_MS = 1_000.0
+MAX_SUSPECTS = 1_024
+MAX_CRASHES = 16
 """Kept of each request; what it has crashed beyond changes nothing."""
-MOST_SERVED = 1_024
-TOLD_CRASHES = 2
+MAX_SERVED = 1_024
+MIN_SHARED_CRASHES = 2
 """Crashes of a request that all daemons are told of."""
-MOST_TOLD = 32
+MAX_SHARED_REQUESTS = 32
 """Requests that all daemons are told of."""
 
 
@@ -44,7 +44,11 @@
 
     @property
     def kept_ms(self) -> float:
-        return QUARANTINE_MS if len(self.crashes) >= CRASHES else SUSPECT_MS
+        return (
+            QUARANTINE_MS
+            if len(self.crashes) >= MIN_QUARANTINE_CRASHES
+            else SUSPECT_MS
+        )
 
 
 class CrashSuspects:
@@ -75,14 +79,14 @@
         return self._version
 
     @property
-    def told_version(self) -> int:
+    def shared_version(self) -> int:
         """Grows with each change of what all daemons are told."""
         return self._told_version
 
     def __contains__(self, digest: str) -> bool:
         return digest in self._suspects
 
-    def crashed(
+    def record_crash(
         self, digest: str, replica: str, at: Instant | None = None
     ) -> None:
         """Notes that a request was under way as a replica crashed."""
@@ -91,31 +95,31 @@
             return
         self._forget()
         suspect = self._suspects.setdefault(digest, _Suspect())
-        if replica in suspect.crashes or len(suspect.crashes) >= MOST_CRASHES:
+        if replica in suspect.crashes or len(suspect.crashes) >= MAX_CRASHES:
             return
         suspect.crashes[replica] = at
         self._under.setdefault(replica, set()).add(digest)
         self._version += 1
-        self._told_version += len(suspect.crashes) >= TOLD_CRASHES
-        if len(self._suspects) > MOST_SUSPECTS:
+        self._told_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
+        if len(self._suspects) > MAX_SUSPECTS:
             self._drop(min(self._suspects, key=self._weight))
 
-    def served(self, digest: str, at: Instant | None = None) -> None:
+    def record_served(self, digest: str, at: Instant | None = None) -> None:
         """Notes that a replica has run a request to its end."""
         at = self._clock.now() if at is None else at
         known = self._served.get(digest)
         if known is not None and known >= at:
             return
         self._served[digest] = at
-        if len(self._served) > MOST_SERVED:
+        if len(self._served) > MAX_SERVED:
             del self._served[min(self._served, key=self._served.__getitem__)]
         suspect = self._suspects.get(digest)
         if suspect is not None and suspect.last_at <= at:
             self._drop(digest)
-            self._told_version += len(suspect.crashes) >= TOLD_CRASHES
+            self._told_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
         self._version += 1
 
-    def quarantined_ms(self, digest: str) -> float:
+    def quarantine_left_ms(self, digest: str) -> float:
         """Returns for how long a request is quarantined, 0 if it is not.
 
         A crash counts against the request that has most crashes of all that
@@ -127,60 +131,65 @@
         if suspect is None:
             return 0.0
         caused = sum(self._has_caused(digest, c) for c in suspect.crashes)
-        if caused < CRASHES:
+        if caused < MIN_QUARANTINE_CRASHES:
             return 0.0
         left_ms = suspect.last_at + QUARANTINE_MS - self._clock.now()
         return max(0.0, left_ms)
 
     def quarantined(self) -> set[str]:
         """Returns the digests of all requests that are quarantined."""
-        return {d for d in self._suspects if self.quarantined_ms(d) > 0}
+        return {d for d in self._suspects if self.quarantine_left_ms(d) > 0}
 
-    def crashes(self, digest: str) -> list[str]:
+    def crashed_replicas(self, digest: str) -> list[str]:
         """Returns the replicas that crashed under a request."""
         suspect = self._suspects.get(digest)
         return sorted(suspect.crashes) if suspect else []
 
-    def to_wire(
-        self, *, least: int = 1, most: int = MOST_SUSPECTS
+    def encode(
+        self, *, min_crashes: int = 1, max_requests: int = MAX_SUSPECTS
     ) -> dict[str, Any] | None:
         """Returns the evidence as JSON values, None if there is none.
 
         Args:
-            least: Crashes of the requests that are told; those with fewer are
-                left out.
-            most: How many requests are told, those with most crashes first.
+            min_crashes: Requests with fewer crashes are left out.
+            max_requests: Limit; requests with most crashes come first.
         """
         self._forget()
         now = self._clock.now()
-        told = [d for d, s in self._suspects.items() if len(s.crashes) >= least]
+        told = [
+            d
+            for d, s in self._suspects.items()
+            if len(s.crashes) >= min_crashes
+        ]
         told.sort(key=self._weight, reverse=True)
         crashes = [
             [digest, replica, round(now - at)]
-            for digest in told[:most]
+            for digest in told[:max_requests]
             for replica, at in self._suspects[digest].crashes.items()
         ]
         served = [[d, round(now - at)] for d, at in self._served.items()]
         if not crashes and not served:
             return None
-        return {"crashes": crashes, "served": served[-most:]}
+        return {"crashes": crashes, "served": served[-max_requests:]}
 
-    def take(self, value: Mapping[str, Any], *, passed_ms: float = 0.0) -> None:
+    def merge(
+        self, value: Mapping[str, Any], *, elapsed_ms: float = 0.0
+    ) -> None:
         """Takes evidence as `to_wire` returned it.
 
         Args:
             value: The evidence.
-            passed_ms: How long ago it was returned.
+            elapsed_ms: How long ago it was returned.
 
         Raises:
             KeyError, TypeError, ValueError: The value is of no known form.
         """
-        now = self._clock.now() - passed_ms
+        now = self._clock.now() - elapsed_ms
         for digest, age_ms in value["served"]:
-            self.served(str(digest), now - max(0.0, float(age_ms)))
+            self.record_served(str(digest), now - max(0.0, float(age_ms)))
         for digest, replica, age_ms in value["crashes"]:
             at = now - max(0.0, float(age_ms))
-            self.crashed(str(digest), str(replica), at)
+            self.record_crash(str(digest), str(replica), at)
 
     def _has_caused(self, digest: str, replica: str) -> bool:
         count = len(self._suspects[digest].crashes)
@@ -196,7 +205,7 @@
 
     def _forget(self) -> None:
         now = self._clock.now()
-        if now - self._forgotten_at < FORGET_EVERY_MS:
+        if now - self._forgotten_at < EXPIRY_INTERVAL_MS:
             return
         self._forgotten_at = now
         for digest, suspect in list(self._suspects.items()):
--- a/cactusdyke/serving/decided.py
+++ b/cactusdyke/serving/decided.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from cactusdyke.serving.peers import mark_of
+from cactusdyke.serving.peers import service_hash
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -46,11 +46,11 @@
         self._since = {
             name: self._since.get(name, now)
             for name in services
-            if self._deciders.by_members(name).own
+            if self._deciders.by_members(name).is_local
         }
         before = self._marks
         self._marks = frozenset(
-            mark_of(name)
+            service_hash(name)
             for name, since in self._since.items()
             if now - since >= TELL_AFTER_MS
         )
--- a/cactusdyke/serving/decider_interface.py
+++ b/cactusdyke/serving/decider_interface.py
@@ -121,4 +121,4 @@
     def _moved(self, service: str) -> list[str] | None:
         """Returns who decides for a service if it is not this daemon."""
         first = self._deciders.by_members(service)
-        return None if first.own else moved_to_wire(first)
+        return None if first.is_local else moved_to_wire(first)
--- a/cactusdyke/serving/deciders.py
+++ b/cactusdyke/serving/deciders.py
@@ -61,13 +61,13 @@
             self._firsts.clear()
         first = self._firsts.get(service)
         if first is None:
-            first = peers.ranked(service, daemons, silent)[0]
+            first = peers.rank_deciders(service, daemons, silent)[0]
             self._firsts[service] = first
         return first
 
     def own(self) -> PeerDaemon:
         """Returns this daemon."""
-        return next(d for d in self._daemons.all() if d.own)
+        return next(d for d in self._daemons.all() if d.is_local)
 
     def take_moved(self, service: str, value: Any) -> None:
         """Takes the word of a daemon that another one decides.
@@ -82,7 +82,7 @@
         peer = PeerDaemon(
             name=str(name),
             address=str(address),
-            front_address="",
+            public_address="",
             data_centre=str(data_centre),
             ready=True,
         )
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -124,7 +124,7 @@
         while True:
             await self._clock.sleep(HAND_OVER_EVERY_MS)
             self._decider.hand_over(
-                lambda name: self._deciders.by_members(name).own
+                lambda name: self._deciders.by_members(name).is_local
             )
             # Whoever has run for two seconds goes before daemons that have not,
             # but for what these say that they decide. Told in the rounds of
@@ -155,7 +155,7 @@
             results=len(briefing.results),
             prompts=len(briefing.prompts),
         )
-        if peer.own:
+        if peer.is_local:
             self._decider.learn(service, briefing)
         else:
             self._note(peer, ["briefing", service, briefing_to(briefing)])
@@ -168,7 +168,7 @@
             peer = self._meet(work.service)
             left = _later(work, self._clock.now() - began)
             last = turn == MOST_TURNS - 1
-            if peer.own or last:
+            if peer.is_local or last:
                 answer = await self._decider.make_work(left, pinned=last)
             else:
                 insists = turn == MOST_TURNS - 2
@@ -185,7 +185,7 @@
 
         What was told fades as time passes: the queue has been worked on.
         """
-        if self._deciders.first(service).own:
+        if self._deciders.first(service).is_local:
             return self._decider.backlog(service)
         told, at = self._backlogs.get(service, (Backlog(), 0.0))
         age_ms = self._clock.now() - at
@@ -205,7 +205,7 @@
             return
         self._holdings.freed(service, handles)
         peer = self._meet(service)
-        if peer.own:
+        if peer.is_local:
             self._decider.free(service, handles)
         else:
             self._note(peer, ["free", service, list(handles)])
@@ -243,7 +243,7 @@
         own = self._deciders.own()
         peer = self._meet(service)
         replica: Replica | None = None
-        if not peer.own:
+        if not peer.is_local:
             replica = await self._place_at(
                 peer, service, placement_id, generation, exclude, inputs
             )
@@ -270,7 +270,7 @@
         """
         peer = self._deciders.first(service)
         replica: Replica | None = None
-        if not peer.own:
+        if not peer.is_local:
             replica = await self._place_at(
                 peer, service, "", generation, (), {}
             )
@@ -285,7 +285,7 @@
     def started(self, placed: Placed) -> None:
         """Tells that a request's first token has come."""
         self._holdings.started(placed.service, placed.placement_id)
-        if placed.decider.own:
+        if placed.decider.is_local:
             self._decider.started(placed.service, placed.placement_id)
         else:
             self._note(
@@ -296,7 +296,7 @@
     def ended(self, placed: Placed, *, failed: bool) -> None:
         """Tells that a request has left its engine."""
         self._holdings.ended(placed.service, placed.placement_id)
-        if placed.decider.own:
+        if placed.decider.is_local:
             self._decider.ended(
                 placed.service, placed.placement_id, failed=failed
             )
@@ -312,7 +312,7 @@
         """Asks another daemon; None if it has to be asked elsewhere."""
         answered = False
         try:
-            with self._watch.waiting_for(peer):
+            with self._watch.cancel_if_silent(peer):
                 body = {**work_to(work), "insists": insists}
                 answer = await self._fetch(
                     peer, STAGE_PATH, body, work.ends_in_ms
@@ -328,7 +328,7 @@
                 detail = answer.err_value.detail
                 self._watch.mark_silent(peer, detail=detail)
             else:
-                self._watch.suspect(peer)
+                self._watch.start_probing(peer)
             return None
         body = answer.ok_value
         if "moved" in body:
@@ -373,7 +373,7 @@
         if answer is None or isinstance(answer, Err):
             # One late answer may be this daemon's own fault; whether the other
             # one is silent is asked before everyone's requests leave it.
-            self._watch.suspect(peer)
+            self._watch.start_probing(peer)
             return None
         name = answer.ok_value.get("replica")
         return self._deployment.replica(name) if name else None
@@ -394,7 +394,7 @@
         answer = await self._network.fetch(peer.address, request, options)
         if isinstance(answer, Err):
             return answer
-        self._watch.heard(peer.address)
+        self._watch.record_answer(peer.address)
         response = answer.ok_value
         if response.status != 200 or not isinstance(response.body, bytes):
             return Err(
@@ -427,7 +427,7 @@
         # and placements are forgotten after a while.
         answer = await self._network.fetch(address, request, options)
         if answer.is_ok():
-            self._watch.heard(address)
+            self._watch.record_answer(address)
 
 
 def _later(work: StageWork, passed_ms: float) -> StageWork:
--- a/cactusdyke/serving/followed_state.py
+++ b/cactusdyke/serving/followed_state.py
@@ -19,7 +19,7 @@
     from cactusdyke.errors import Failure
     from cactusdyke.infrastructure.watched_store import WatchedStore
 
-MOST_BATCHES = 500
+MAX_BATCHES = 500
 """Changes kept for daemons that follow this one; older ones list all."""
 
 
@@ -92,13 +92,13 @@
             )
         return read
 
-    def is_newer_than(self, revision: int) -> bool:
+    def has_changes_since(self, revision: int) -> bool:
         """Whether a daemon that is at a revision lacks something."""
         if revision < self._oldest:
             return True
         return bool(self._batches) and self._batches[-1].revision > revision
 
-    def to_wire(self, revision: int) -> dict[str, Any]:
+    def encode_since(self, revision: int) -> dict[str, Any]:
         """Returns what a daemon lacks that is at a revision."""
         body: dict[str, Any] = {
             "revision": self._revision,
@@ -116,7 +116,7 @@
             ]
         return body
 
-    def take(self, body: Mapping[str, Any], *, source: str) -> None:
+    def merge(self, body: Mapping[str, Any], *, source: str) -> None:
         """Takes what another daemon knows, unless it is older.
 
         Raises:
@@ -139,7 +139,7 @@
                     age_ms=round(age_ms),
                 )
         else:
-            self._apply(
+            self._apply_changes(
                 [
                     Change(object=_from_wire(value), deleted=bool(deleted))
                     for *value, deleted in body["changes"]
@@ -173,7 +173,7 @@
             return Ok(False)
         changes = answer.ok_value.changes
         if answer.ok_value.revision >= self._revision:
-            self._apply(changes, answer.ok_value.revision)
+            self._apply_changes(changes, answer.ok_value.revision)
         return Ok(bool(changes))
 
     def _heard(self) -> None:
@@ -196,14 +196,14 @@
         self._revision = self._oldest = revision
         self._batches.clear()
         self._listed = True
-        self._applied(source)
+        self._apply_objects(source)
         self._on_change()
 
-    def _apply(self, changes: Sequence[Change], revision: int) -> None:
+    def _apply_changes(self, changes: Sequence[Change], revision: int) -> None:
         self._revision = revision
         if not changes:
             return
-        if len(self._batches) >= MOST_BATCHES:
+        if len(self._batches) >= MAX_BATCHES:
             self._oldest = self._batches.popleft().revision
         self._batches.append(_Batch(revision=revision, changes=tuple(changes)))
         for change in changes:
@@ -211,15 +211,15 @@
                 self._objects.pop(change.object.name, None)
             else:
                 self._objects[change.object.name] = change.object
-            self._changed(change)
+            self._apply_change(change)
         self._on_change()
 
     @abc.abstractmethod
-    def _applied(self, source: str) -> None:
+    def _apply_objects(self, source: str) -> None:
         """Puts all objects in force."""
 
     @abc.abstractmethod
-    def _changed(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         """Puts one change in force."""
 
 
--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -150,7 +150,7 @@
     def _admit(self, request: ClientRequest) -> Result[ServingContext, Failure]:
         """Finds the route and the customer of a request."""
         configuration = self._deployment.configuration
-        if configuration is None or not self._quarantine.informed:
+        if configuration is None or not self._quarantine.loaded:
             return Err(
                 Failure(
                     kind=FailureKind.UNCONFIRMED,
@@ -453,9 +453,9 @@
         if verdict is not None and verdict.load is not None:
             self._health.load_told(replica.name, verdict.load)
         if result.broken:
-            self._quarantine.attempt_broke(context, replica)
+            self._quarantine.on_attempt_broken(context, replica)
         elif result.ran_to_its_end:
-            self._quarantine.served(context)
+            self._quarantine.on_served(context)
         if result.wrong_replica:
             self._deployment.mark_gone(
                 replica, reason="another has its address"
--- a/cactusdyke/serving/member_view.py
+++ b/cactusdyke/serving/member_view.py
@@ -15,12 +15,12 @@
     from cactusdyke.membership.member import Member
     from cactusdyke.membership.members import Members
 
-SETTLED_MS = 2_000.0
+WARM_UP_MS = 2_000.0
 """By then a daemon that has just started knows its members and the store."""
-MOST_DECIDED = 16
+MAX_ANNOUNCED_HASHES = 16
 """Marks told of; what a daemon decides beyond may move sooner."""
-ATTACHMENT = "front"
-FRESH_MS = 50.0
+ATTACHMENT_KEY = "front"
+CACHE_MS = 50.0
 """Gossip itself takes half a second to reach all."""
 
 
@@ -32,27 +32,27 @@
         *,
         clock: Clock,
         members: Members,
-        front_address: str,
-        size: int,
+        public_address: str,
+        size_class: int,
         ready: Callable[[], bool],
-        decides: Callable[[], frozenset[int]],
-        least_count: Callable[[], int],
+        decided_hashes: Callable[[], frozenset[int]],
+        min_count: Callable[[], int],
         busy: Callable[[], bool] = lambda: False,
     ) -> None:
         self._clock = clock
         self._started_at = clock.now()
         self._members = members
-        self._front_address = front_address
-        self._size = size
+        self._front_address = public_address
+        self._size = size_class
         self._ready = ready
-        self._decides = decides
-        self._least_count = least_count
+        self._decides = decided_hashes
+        self._least_count = min_count
         self._busy = busy
         self._told: dict[str, Mapping[str, Any]] = {}
         self._described: dict[str, tuple[Mapping[str, Any], PeerDaemon]] = {}
         self._known: tuple[PeerDaemon, ...] = ()
         self._fresh_until: Instant = -math.inf
-        members.attach(ATTACHMENT, self._tell, self._hear)
+        members.attach(ATTACHMENT_KEY, self._tell, self._hear)
 
     def all(self) -> tuple[PeerDaemon, ...]:
         """Returns every daemon believed alive and not leaving, and this one.
@@ -62,7 +62,7 @@
         """
         now = self._clock.now()
         if now >= self._fresh_until:
-            self._fresh_until = now + FRESH_MS
+            self._fresh_until = now + CACHE_MS
             known = self._now()
             if known != self._known:
                 self._known = known
@@ -77,15 +77,15 @@
         ]
         return (self._own(), *others)
 
-    def believed_count(self) -> int:
+    def estimated_count(self) -> int:
         """Returns how many daemons there may be, those believed dead too."""
         return max(self._members.known_count, self._least_count())
 
-    def callers_may_use(self) -> list[PeerDaemon]:
+    def daemons_for_callers(self) -> list[PeerDaemon]:
         """Returns where callers are sent: ready daemons, or any known."""
-        known = [d for d in self.all() if d.front_address]
+        known = [d for d in self.all() if d.public_address]
         ready = [d for d in known if d.ready]
-        others = [d for d in known if not d.own]
+        others = [d for d in known if not d.is_local]
         return ready or others or known
 
     def _own(self) -> PeerDaemon:
@@ -94,14 +94,14 @@
         return PeerDaemon(
             name=own.name,
             address=own.address,
-            front_address=self._front_address,
+            public_address=self._front_address,
             data_centre=own.data_centre,
             ready=self._ready() and not leaving,
-            settled=self._settled(),
-            size=self._size,
-            decides=self._decides(),
+            warmed_up=self._settled(),
+            size_class=self._size,
+            decided_hashes=self._decides(),
             busy=self._busy(),
-            own=True,
+            is_local=True,
         )
 
     def _daemon(self, member: Member) -> PeerDaemon:
@@ -128,11 +128,11 @@
             "s": int(self._settled()),
             "w": self._size,
             "b": int(self._busy()),
-            "d": sorted(self._decides())[:MOST_DECIDED],
+            "d": sorted(self._decides())[:MAX_ANNOUNCED_HASHES],
         }
 
     def _settled(self) -> bool:
-        return self._clock.now() - self._started_at > SETTLED_MS
+        return self._clock.now() - self._started_at > WARM_UP_MS
 
     def _hear(self, name: str, value: Mapping[str, Any]) -> None:
         self._told[name] = value
@@ -142,11 +142,11 @@
     return PeerDaemon(
         name=member.name,
         address=member.address,
-        front_address=str(told.get("a", "")),
+        public_address=str(told.get("a", "")),
         data_centre=member.data_centre,
         ready=bool(told.get("r")),
-        settled=bool(told.get("s")),
-        size=int(told.get("w", 0)),
-        decides=frozenset(told.get("d", ())),
+        warmed_up=bool(told.get("s")),
+        size_class=int(told.get("w", 0)),
+        decided_hashes=frozenset(told.get("d", ())),
         busy=bool(told.get("b")),
     )
--- a/cactusdyke/serving/peer_watch.py
+++ b/cactusdyke/serving/peer_watch.py
@@ -23,11 +23,11 @@
     from cactusdyke.transport.network import Network
 
 ALIVE_PATH = "/internal/v1/alive"
-ASK_EVERY_MS = 150.0
-ANSWER_WITHIN_MS = 250.0
-STRIKES = 2
+PROBE_INTERVAL_MS = 150.0
+PROBE_TIMEOUT_MS = 250.0
+MAX_FAILED_PROBES = 2
 """One question lost on the way must not move a whole service's batches."""
-SILENT_MS = 2_000.0
+AVOIDANCE_MS = 2_000.0
 
 
 class PeerWatch(Service):
@@ -58,9 +58,9 @@
         """Avoids a daemon for a while."""
         if peer.name not in self.silent:
             events.log(events.Event.PEER_SILENT, peer=peer.name, detail=detail)
-        self._silent[peer.name] = self._clock.now() + SILENT_MS
+        self._silent[peer.name] = self._clock.now() + AVOIDANCE_MS
 
-    def heard(self, address: str) -> None:
+    def record_answer(self, address: str) -> None:
         """Notes that a daemon has answered something.
 
         What is known need not be asked: beside other messages the questions
@@ -80,18 +80,18 @@
         return json_response({})
 
     @contextlib.contextmanager
-    def waiting_for(self, peer: PeerDaemon) -> Iterator[anyio.CancelScope]:
+    def cancel_if_silent(self, peer: PeerDaemon) -> Iterator[anyio.CancelScope]:
         """Cancels the block when the daemon goes silent."""
         with anyio.CancelScope() as scope:
             scopes = self._waiting.setdefault(peer.name, [])
             scopes.append(scope)
-            self.suspect(peer)
+            self.start_probing(peer)
             try:
                 yield scope
             finally:
                 scopes.remove(scope)
 
-    def suspect(self, peer: PeerDaemon) -> None:
+    def start_probing(self, peer: PeerDaemon) -> None:
         """Begins to ask a daemon, if that is not under way."""
         if peer.name not in self._watched and self._tasks is not None:
             self._watched.add(peer.name)
@@ -100,11 +100,11 @@
     async def _watch(self, peer: PeerDaemon) -> None:
         strikes = 0
         while True:
-            await self._clock.sleep(ASK_EVERY_MS)
+            await self._clock.sleep(PROBE_INTERVAL_MS)
             strikes = 0 if await self._ask(peer) else strikes + 1
             if not strikes and not self._waiting.get(peer.name):
                 break
-            if strikes >= STRIKES:
+            if strikes >= MAX_FAILED_PROBES:
                 self.mark_silent(peer, detail="no answer to two questions")
                 for scope in self._waiting.pop(peer.name, ()):
                     scope.cancel()
@@ -113,14 +113,14 @@
 
     async def _ask(self, peer: PeerDaemon) -> bool:
         heard_at = self._heard.get(peer.address, -math.inf)
-        if self._clock.now() - heard_at < ASK_EVERY_MS:
+        if self._clock.now() - heard_at < PROBE_INTERVAL_MS:
             return True
         options = CallOptions(
-            connect_timeout_ms=ANSWER_WITHIN_MS,
-            progress_timeout_ms=ANSWER_WITHIN_MS,
+            connect_timeout_ms=PROBE_TIMEOUT_MS,
+            progress_timeout_ms=PROBE_TIMEOUT_MS,
         )
         request = Request(method="GET", path=ALIVE_PATH)
         answer = await self._network.fetch(peer.address, request, options)
         if answer.is_ok():
-            self.heard(peer.address)
+            self.record_answer(peer.address)
         return answer.is_ok()
--- a/cactusdyke/serving/peers.py
+++ b/cactusdyke/serving/peers.py
@@ -20,26 +20,26 @@
     Attributes:
         name: Its name.
         address: Where other daemons reach it.
-        front_address: Where callers reach it, empty if not told yet.
+        public_address: Where callers reach it, empty if not told yet.
         data_centre: Where it stands.
         ready: Whether callers may be sent to it.
-        settled: Whether it has been ready for a while.
-        size: The class of its host's processor and link, larger for more.
-        decides: Marks of the services that it says it decides for.
+        warmed_up: Whether it has been ready for a while.
+        size_class: The class of its host's processor and link, larger for more.
+        decided_hashes: Marks of the services that it says it decides for.
         busy: Whether its processor has little time left.
-        own: Whether it is this daemon.
+        is_local: Whether it is this daemon.
     """
 
     name: str
     address: str
-    front_address: str
+    public_address: str
     data_centre: str
     ready: bool
-    settled: bool = True
-    size: int = 0
-    decides: frozenset[int] = frozenset()
+    warmed_up: bool = True
+    size_class: int = 0
+    decided_hashes: frozenset[int] = frozenset()
     busy: bool = False
-    own: bool = False
+    is_local: bool = False
 
 
 class PeerDaemons(abc.ABC):
@@ -50,7 +50,7 @@
         """Returns every daemon believed alive and not leaving."""
 
     @abc.abstractmethod
-    def believed_count(self) -> int:
+    def estimated_count(self) -> int:
         """Returns how many daemons there may be, for sharing out budgets.
 
         Rather too many than too few: a daemon that is cut off believes the
@@ -67,24 +67,24 @@
 def size_class(*, cores: float, link_mbps: float) -> int:
     """Returns the class of a host: a step for each halving below what helps."""
     share = min(1.0, cores / USEFUL_CORES, link_mbps / USEFUL_LINK_MBPS)
-    return math.floor(math.log2(max(share, MOST_SMALL)) + 0.5)
+    return math.floor(math.log2(max(share, MIN_SHARE)) + 0.5)
 
 
-MOST_SMALL = 1 / 64
+MIN_SHARE = 1 / 64
 
 
-def mark_of(service: str) -> int:
+def service_hash(service: str) -> int:
     """Returns a service's mark, short enough to ride on gossip.
 
     Two services of one mark go to the same daemon, which does no harm.
     """
-    return xxhash.xxh3_64_intdigest(service.encode()) & MARK_BITS
+    return xxhash.xxh3_64_intdigest(service.encode()) & SERVICE_HASH_MASK
 
 
-MARK_BITS = 0xFFFF
+SERVICE_HASH_MASK = 0xFFFF
 
 
-def ranked(
+def rank_deciders(
     service: str, daemons: Iterable[PeerDaemon], silent: Container[str]
 ) -> list[PeerDaemon]:
     """Returns who decides for a service, the first choice first.
@@ -98,15 +98,15 @@
     those that did, and one that has just started after the others. Large hosts
     come first: the batches of all pass through the decider's link.
     """
-    mark = mark_of(service)
+    mark = service_hash(service)
     return sorted(
         daemons,
         key=lambda d: (
             d.name in silent,
             not d.ready,
-            -d.size,
-            mark not in d.decides,
-            not d.settled,
+            -d.size_class,
+            mark not in d.decided_hashes,
+            not d.warmed_up,
             xxhash.xxh3_64_intdigest(f"{service}@{d.name}".encode()),
         ),
     )
--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -21,8 +21,8 @@
 from cactusdyke.kernel import Service
 from cactusdyke.membership.riders import Rider
 from cactusdyke.serving.crash_suspects import (
-    MOST_TOLD,
-    TOLD_CRASHES,
+    MAX_SHARED_REQUESTS,
+    MIN_SHARED_CRASHES,
     CrashSuspects,
 )
 from cactusdyke.serving.state_readers import RankedReaders
@@ -54,16 +54,16 @@
 
 CRASHES_PATH = "/internal/v1/crashes"
 OK_STATUS = 200
-GATHER_MS = 20.0
+COALESCE_MS = 20.0
 """Connections to a replica that crashes break within a few milliseconds."""
-ENDS_WITHIN_MS = 250.0
+RECHECK_DELAY_MS = 250.0
 """A process that ends may break its connections before it stops listening."""
 CALL_TIMEOUT_MS = 500.0
 RETRY_MS = 500.0
 SAVE_RETRY_MS = 2_000.0
-INFORM_WITHIN_MS = 1_000.0
+LOAD_TIMEOUT_MS = 1_000.0
 """How long a daemon that starts waits for what was saved before it serves."""
-MOST_CALLS = 16
+MAX_CONCURRENT_CALLS = 16
 """Calls at once to other daemons; a host has a core at most to spend."""
 
 
@@ -107,50 +107,54 @@
         self._on_informed: Callable[[], None] = lambda: None
 
     @property
-    def informed(self) -> bool:
+    def loaded(self) -> bool:
         """Whether what others know is known here, or waited for in vain."""
         return self._informed
 
-    def on_informed(self, hook: Callable[[], None]) -> None:
+    def on_loaded(self, hook: Callable[[], None]) -> None:
         """Calls `hook` once that is so."""
         self._on_informed = hook
 
-    def inform(self) -> None:
+    def mark_loaded(self) -> None:
         """Notes that all that was saved has been taken, or can't be had."""
         if not self._informed:
             self._informed = True
             self._on_informed()
 
     @property
-    def known(self) -> CrashSuspects:
+    def suspects(self) -> CrashSuspects:
         """What this daemon has seen and heard."""
         return self._known
 
     @property
-    def rider(self) -> Rider:
+    def attachment(self) -> Rider:
         """Has what all daemons are told travel with membership's messages."""
         return _EvidenceRider(quarantine=self, known=self._known)
 
     @property
     def evidence(self) -> dict[str, Any] | None:
         """What all daemons are told, None for nothing."""
-        return self._known.to_wire(least=TOLD_CRASHES, most=MOST_TOLD)
+        return self._known.encode(
+            min_crashes=MIN_SHARED_CRASHES, max_requests=MAX_SHARED_REQUESTS
+        )
 
     def refusal(self, context: ServingContext) -> Failure | None:
         """Returns why a request is sent to no replica, None if it may be."""
         if self._known.empty:
             return None
-        left_ms = self._known.quarantined_ms(context.digest)
+        left_ms = self._known.quarantine_left_ms(context.digest)
         if not left_ms:
             return None
-        count = len(self._known.crashes(context.digest))
+        count = len(self._known.crashed_replicas(context.digest))
         return Failure(
             kind=FailureKind.QUARANTINED,
             detail=f"{count} replicas crashed as they ran this request",
             retry_after_ms=round(left_ms),
         )
 
-    def attempt_broke(self, context: ServingContext, replica: Replica) -> None:
+    def on_attempt_broken(
+        self, context: ServingContext, replica: Replica
+    ) -> None:
         """Finds out whether the replica of a broken attempt has crashed."""
         broken = self._broken.get(replica.name)
         if broken is not None:
@@ -159,26 +163,28 @@
             self._broken[replica.name] = {context.digest}
             self._tasks.start_soon(self._look_at, replica)
 
-    def served(self, context: ServingContext) -> None:
+    def on_served(self, context: ServingContext) -> None:
         """Clears a request that a replica has run to its end."""
         if self._known.empty or context.digest not in self._known:
             return
-        before = self._known.told_version
-        self._own.served(context.digest)
-        self._known.served(context.digest)
+        before = self._known.shared_version
+        self._own.record_served(context.digest)
+        self._known.record_served(context.digest)
         self._note_own()
-        if self._known.told_version != before:
+        if self._known.shared_version != before:
             self._note_told()
 
-    def take(self, evidence: Mapping[str, Any], passed_ms: float = 0.0) -> None:
+    def merge(
+        self, evidence: Mapping[str, Any], elapsed_ms: float = 0.0
+    ) -> None:
         """Takes what another daemon knows, or knew.
 
         Raises:
             KeyError, TypeError, ValueError: The value is of no known form.
         """
-        before = self._known.told_version
-        self._known.take(evidence, passed_ms=passed_ms)
-        if self._known.told_version != before:
+        before = self._known.shared_version
+        self._known.merge(evidence, elapsed_ms=elapsed_ms)
+        if self._known.shared_version != before:
             self._note_told()
 
     async def run(self) -> None:
@@ -197,7 +203,7 @@
         if isinstance(value, Err):
             return failure_response(value.err_value)
         try:
-            self.take(value.ok_value)
+            self.merge(value.ok_value)
         except (KeyError, TypeError, ValueError) as error:
             return failure_response(
                 Failure(
@@ -208,8 +214,8 @@
         return json_response({})
 
     async def _wait_for_saved(self) -> None:
-        await self._clock.sleep(INFORM_WITHIN_MS)
-        self.inform()
+        await self._clock.sleep(LOAD_TIMEOUT_MS)
+        self.mark_loaded()
 
     async def _look_at(self, replica: Replica) -> None:
         """Takes a replica for crashed if its host refuses connections.
@@ -218,10 +224,10 @@
         replica has too many.
         """
         try:
-            await self._clock.sleep(GATHER_MS)
+            await self._clock.sleep(COALESCE_MS)
             down = await self._is_down(replica)
             if not down:
-                await self._clock.sleep(ENDS_WITHIN_MS)
+                await self._clock.sleep(RECHECK_DELAY_MS)
                 down = await self._is_down(replica)
         finally:
             digests = self._broken.pop(replica.name)
@@ -235,12 +241,12 @@
         )
         self._metrics.replica_crashed(replica.service)
         name = f"{replica.name}/{replica.born}"
-        before = self._known.told_version
+        before = self._known.shared_version
         for digest in digests:
-            self._own.crashed(digest, name)
-            self._known.crashed(digest, name)
+            self._own.record_crash(digest, name)
+            self._known.record_crash(digest, name)
         self._note_own()
-        if self._known.told_version != before:
+        if self._known.shared_version != before:
             self._note_told()
 
     async def _is_down(self, replica: Replica) -> bool:
@@ -260,7 +266,7 @@
             events.log(
                 events.Event.REQUEST_QUARANTINED,
                 digest=digest,
-                replicas=self._known.crashes(digest),
+                replicas=self._known.crashed_replicas(digest),
             )
         self._quarantined = now
         self._metrics.quarantined(len(now))
@@ -271,7 +277,7 @@
         """Has every collector know what was seen here."""
         while True:
             seen = self._seen
-            evidence = self._own.to_wire()
+            evidence = self._own.encode()
             if evidence is None:
                 self._reported.clear()
                 await seen.wait()
@@ -279,8 +285,8 @@
             version = self._own.version
             late = [
                 collector
-                for collector in self._collectors.now()
-                if not collector.own
+                for collector in self._collectors.current()
+                if not collector.is_local
                 and self._reported.get(collector.name) != version
             ]
             for name in await self._post(late, evidence):
@@ -294,13 +300,13 @@
         told_version = 0
         while True:
             told = self._told
-            if self._known.told_version == told_version:
+            if self._known.shared_version == told_version:
                 await told.wait()
-                await self._clock.sleep(GATHER_MS)
-            told_version = self._known.told_version
+                await self._clock.sleep(COALESCE_MS)
+            told_version = self._known.shared_version
             evidence = self.evidence
             if evidence is not None and self._collects:
-                others = [d for d in self._daemons.all() if not d.own]
+                others = [d for d in self._daemons.all() if not d.is_local]
                 await self._post(others, evidence)
 
     async def _save(self) -> None:
@@ -311,7 +317,7 @@
         saved = 0
         while True:
             told = self._told
-            version = self._known.told_version
+            version = self._known.shared_version
             if version != saved and self._collects:
                 answer = await self._store.save_quarantine()
                 if isinstance(answer, Err):
@@ -326,11 +332,11 @@
             else:
                 with self._clock.timeout(SAVE_RETRY_MS):
                     await told.wait()
-            await self._clock.sleep(GATHER_MS)
+            await self._clock.sleep(COALESCE_MS)
 
     @property
     def _collects(self) -> bool:
-        return any(daemon.own for daemon in self._collectors.now())
+        return any(daemon.is_local for daemon in self._collectors.current())
 
     async def _post(
         self, daemons: list[PeerDaemon], evidence: Mapping[str, Any]
@@ -346,7 +352,7 @@
             connect_timeout_ms=CALL_TIMEOUT_MS,
             progress_timeout_ms=CALL_TIMEOUT_MS,
         )
-        limiter = anyio.CapacityLimiter(MOST_CALLS)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_CALLS)
         took: list[str] = []
 
         async def post(daemon: PeerDaemon) -> None:
@@ -376,7 +382,7 @@
 
     def write(self, receiver: Member | None) -> Any:
         """Returns the evidence, None if there is none or it was sent."""
-        version = self._known.told_version
+        version = self._known.shared_version
         if receiver is None or not version:
             return None
         told = (receiver.incarnation, version)
@@ -388,4 +394,4 @@
     def read(self, sender: Member, value: Any) -> None:
         """Takes another daemon's evidence."""
         del sender
-        self._quarantine.take(value)
+        self._quarantine.merge(value)
--- a/cactusdyke/serving/state_exchange.py
+++ b/cactusdyke/serving/state_exchange.py
@@ -28,20 +28,20 @@
     from cactusdyke.transport.network import Network
 
 STATE_PATH = "/internal/v1/known-state"
-WAIT_MS = 900.0
+LONG_POLL_MS = 900.0
 """How long the store, or a daemon that reads it, may wait for a change."""
-ANSWER_MARGIN_MS = 350.0
+TIMEOUT_MARGIN_MS = 350.0
 """With it a silent reader is found out in 1.25 s. The shortest time in which a
 change has to be in force is 2 s, and one call to the store is left to make."""
 STALE_MS = 1_200.0
 """A daemon that the store last answered so long ago is not followed."""
-GATHER_MS = 100.0
+COALESCE_MS = 100.0
 """Changes that come so soon after one another take one call."""
 RETRY_MS = 250.0
-RETRY_BY_OTHERS_MS = 2_500.0
+NON_READER_RETRY_MS = 2_500.0
 """Between the tries of a daemon that reads only for want of a reader."""
-AVOIDED_MS = 3_000.0
-ROLE_LOOK_MS = 500.0
+AVOIDANCE_MS = 3_000.0
+ROLE_CHECK_INTERVAL_MS = 500.0
 
 
 class StateExchange(Service):
@@ -75,7 +75,7 @@
             state.on_change(self._note_change)
 
     @property
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         """Whether this daemon reads the store."""
         return self._reading.is_set()
 
@@ -94,7 +94,7 @@
             text = request.query.get(name, "0")
             known[name] = int(text) if text.isdigit() else 0
         wait = request.query.get("wait_ms", "0")
-        wait_ms = min(WAIT_MS, float(wait) if wait.isdigit() else 0.0)
+        wait_ms = min(LONG_POLL_MS, float(wait) if wait.isdigit() else 0.0)
         fresh_ms = STALE_MS - max(s.age_ms for s in self._states.values())
         with self._clock.timeout(min(wait_ms, fresh_ms)):
             while not self._newer(known):
@@ -102,7 +102,7 @@
         return json_response(
             {
                 "states": {
-                    name: state.to_wire(known[name])
+                    name: state.encode_since(known[name])
                     for name, state in self._states.items()
                     if state.revision
                 }
@@ -111,7 +111,7 @@
 
     def _newer(self, known: dict[str, int]) -> bool:
         return any(
-            state.is_newer_than(known[name])
+            state.has_changes_since(known[name])
             for name, state in self._states.items()
         )
 
@@ -123,28 +123,30 @@
         while True:
             if state.listed:
                 await self._reading.wait()
-            read = await state.read(wait_ms=WAIT_MS)
+            read = await state.read(wait_ms=LONG_POLL_MS)
             if isinstance(read, Err):
                 await self._clock.sleep(self._retry_ms())
             elif read.ok_value:
-                await self._clock.sleep(GATHER_MS)
+                await self._clock.sleep(COALESCE_MS)
 
     def _retry_ms(self) -> float:
-        is_reader = any(reader.own for reader in self._readers.now())
-        retry_ms = RETRY_MS if is_reader else RETRY_BY_OTHERS_MS
+        is_reader = any(reader.is_local for reader in self._readers.current())
+        retry_ms = RETRY_MS if is_reader else NON_READER_RETRY_MS
         return retry_ms * self._rng.uniform(0.5, 1.0)
 
     async def _step(self) -> None:
         source = self._choose()
         if source is None or not self._all_listed:
             self._follow("the store")
-            await self._clock.sleep(ROLE_LOOK_MS * self._rng.uniform(0.6, 1.0))
+            await self._clock.sleep(
+                ROLE_CHECK_INTERVAL_MS * self._rng.uniform(0.6, 1.0)
+            )
             if not (self._fresh and self._all_listed):
                 await self._ask_any()
-        elif await self._ask(source, wait_ms=WAIT_MS) and self._fresh:
+        elif await self._ask(source, wait_ms=LONG_POLL_MS) and self._fresh:
             self._follow(source.name)
         else:
-            self._avoided[source.name] = self._clock.now() + AVOIDED_MS
+            self._avoided[source.name] = self._clock.now() + AVOIDANCE_MS
             self._reading.set()
 
     @property
@@ -158,21 +160,23 @@
     def _choose(self) -> PeerDaemon | None:
         now = self._clock.now()
         self._avoided = {n: at for n, at in self._avoided.items() if at > now}
-        own = next(d for d in self._daemons.all() if d.own)
-        return state_readers.source(own, self._readers.now(), self._avoided)
+        own = next(d for d in self._daemons.all() if d.is_local)
+        return state_readers.choose_source(
+            own, self._readers.current(), self._avoided
+        )
 
     def _follow(self, source: str) -> None:
         if source == "the store":
             self._reading.set()
-        elif self.reads:
+        elif self.reads_store:
             self._reading = anyio.Event()
         if source != self._source:
             self._source = source
             events.log(events.Event.SERVING_STATE_SOURCE, source=source)
 
     async def _ask_any(self) -> None:
-        others = [d for d in self._readers.now() if not d.own]
-        others = others or [d for d in self._daemons.all() if not d.own]
+        others = [d for d in self._readers.current() if not d.is_local]
+        others = others or [d for d in self._daemons.all() if not d.is_local]
         if others:
             await self._ask(self._rng.choice(others), wait_ms=0.0)
 
@@ -186,7 +190,7 @@
                 **{s.name: str(s.revision) for s in self._states.values()},
             },
         )
-        timeout_ms = wait_ms + ANSWER_MARGIN_MS
+        timeout_ms = wait_ms + TIMEOUT_MARGIN_MS
         options = CallOptions(
             connect_timeout_ms=timeout_ms, progress_timeout_ms=timeout_ms
         )
@@ -201,7 +205,7 @@
         try:
             for name, value in parse_object(body).unwrap()["states"].items():
                 if name in self._states:
-                    self._states[name].take(value, source=peer.name)
+                    self._states[name].merge(value, source=peer.name)
         except (KeyError, TypeError, ValueError) as error:
             events.log(
                 events.Event.GOSSIP_REJECTED,
--- a/cactusdyke/serving/state_readers.py
+++ b/cactusdyke/serving/state_readers.py
@@ -18,19 +18,19 @@
 
     from cactusdyke.serving.peers import PeerDaemon, PeerDaemons
 
-LEAST_READERS = 2
-FOLLOWERS_A_READER = 64
+MIN_READERS = 2
+FOLLOWERS_PER_READER = 64
 """Each asks about once a second, at half a millisecond of its reader's time."""
 
 
-def readers(daemons: Sequence[PeerDaemon]) -> list[PeerDaemon]:
+def choose_readers(daemons: Sequence[PeerDaemon]) -> list[PeerDaemon]:
     """Returns the daemons that read the store, in different data centres.
 
     Daemons that see the same members agree without a message. Large hosts come
     first, and ones that have just started last.
     """
     ranked = sorted(daemons, key=_rank)
-    count = max(LEAST_READERS, math.ceil(len(ranked) / FOLLOWERS_A_READER))
+    count = max(MIN_READERS, math.ceil(len(ranked) / FOLLOWERS_PER_READER))
     taken: collections.Counter[str] = collections.Counter()
     turns: dict[str, int] = {}
     for daemon in ranked:
@@ -47,16 +47,16 @@
         self._ranked_of: tuple[PeerDaemon, ...] = ()
         self._ranked: list[PeerDaemon] = []
 
-    def now(self) -> list[PeerDaemon]:
+    def current(self) -> list[PeerDaemon]:
         """Returns them as members are seen now."""
         daemons = self._daemons.all()
         if daemons is not self._ranked_of:
             self._ranked_of = daemons
-            self._ranked = readers(daemons)
+            self._ranked = choose_readers(daemons)
         return self._ranked
 
 
-def source(
+def choose_source(
     own: PeerDaemon, chosen: Sequence[PeerDaemon], avoided: Container[str]
 ) -> PeerDaemon | None:
     """Returns whom a daemon follows, None if it reads the store itself.
@@ -80,8 +80,8 @@
 def _rank(daemon: PeerDaemon) -> tuple[bool, int, bool, int]:
     return (
         not daemon.ready,
-        -daemon.size,
-        not daemon.settled,
+        -daemon.size_class,
+        not daemon.warmed_up,
         _hash(daemon.name),
     )
 
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -205,11 +205,11 @@
         view = MemberView(
             clock=clock,
             members=members,
-            front_address=f"{self.name}:2",
-            size=0,
+            public_address=f"{self.name}:2",
+            size_class=0,
             ready=lambda: True,
-            decides=lambda: core.decides,
-            least_count=lambda: len(self._hosts),
+            decided_hashes=lambda: core.decides,
+            min_count=lambda: len(self._hosts),
         )
         core = ServingCore(
             clock=clock,
@@ -231,10 +231,10 @@
             metrics=ServingMetrics(registry),
             tracing=Tracing(daemon=self.name, kept=KEPT_SPANS),
         )
-        members.ride("crashes", core.quarantine.rider)
+        members.ride("crashes", core.quarantine.attachment)
         for evidence in world.saved.values():
-            core.quarantine.take(evidence)
-        core.quarantine.inform()
+            core.quarantine.merge(evidence)
+        core.quarantine.mark_loaded()
         deployment.apply(
             deployments.configuration(world.scenario), source="scenario"
         )
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -126,17 +126,17 @@
     context.view = MemberView(
         clock=HandClock(),
         members=CutOffMembers(),
-        front_address="a:1",
-        size=0,
+        public_address="a:1",
+        size_class=0,
         ready=lambda: True,
-        decides=frozenset,
-        least_count=lambda: 4,
+        decided_hashes=frozenset,
+        min_count=lambda: 4,
     )
 
 
 @then("it still shares the retries with them")
 def check_cut_off(context):
-    assert context.view.believed_count() == 6
+    assert context.view.estimated_count() == 6
 
 
 class SilentNetwork:
@@ -162,7 +162,7 @@
 PEER = PeerDaemon(
     name="d2",
     address="d2:1",
-    front_address="",
+    public_address="",
     data_centre="here",
     ready=True,
 )
@@ -181,7 +181,7 @@
             tasks.start_soon(watch.run)
             await anyio.sleep(0.01)
             context.ended = False
-            with watch.waiting_for(PEER) as scope:
+            with watch.cancel_if_silent(PEER) as scope:
                 await anyio.sleep(2.0)
                 context.waited_while_well = not scope.cancel_called
                 context.network.silent = True
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -28,7 +28,7 @@
     ReplicaState,
 )
 from cactusdyke.serving.peer_watch import ALIVE_PATH, PeerWatch
-from cactusdyke.serving.peers import PeerDaemon, PeerDaemons, mark_of
+from cactusdyke.serving.peers import PeerDaemon, PeerDaemons, service_hash
 from cactusdyke.serving.placement import EnginePlacer
 from cactusdyke.serving.request import Generation, PromptPart
 from cactusdyke.serving.stage_queue import StageQueue
@@ -56,7 +56,7 @@
     fields = {
         "name": name,
         "address": f"{name}:1",
-        "front_address": "",
+        "public_address": "",
         "data_centre": "here",
         "ready": True,
     }
@@ -64,11 +64,13 @@
 
 
 def _first(daemons):
-    return peers.ranked(SERVICE, daemons, {})[0].name
+    return peers.rank_deciders(SERVICE, daemons, {})[0].name
 
 
 def _says(daemon):
-    return attrs.evolve(daemon, decides=frozenset({mark_of(SERVICE)}))
+    return attrs.evolve(
+        daemon, decided_hashes=frozenset({service_hash(SERVICE)})
+    )
 
 
 @given("three daemons, one of which decides for a service")
@@ -84,7 +86,7 @@
     context.next = _first(context.daemons.values())
     assert context.next != context.usual
     context.daemons[context.next] = _says(context.daemons[context.next])
-    context.daemons[left.name] = attrs.evolve(left, decides=frozenset())
+    context.daemons[left.name] = attrs.evolve(left, decided_hashes=frozenset())
 
 
 @then("the other one still decides")
@@ -103,7 +105,7 @@
 @then("all three choose the same one of the two")
 def same(context):
     chosen = {
-        _first([attrs.evolve(d, own=d.name == own) for d in order])
+        _first([attrs.evolve(d, is_local=d.name == own) for d in order])
         for own in context.daemons
         for order in (
             list(context.daemons.values()),
@@ -117,8 +119,8 @@
 @when("a small host decides and a large one comes")
 def large_comes(context):
     context.daemons = {
-        "small": _says(_daemon("small", size=-2)),
-        "large": _daemon("large", settled=False),
+        "small": _says(_daemon("small", size_class=-2)),
+        "large": _daemon("large", warmed_up=False),
     }
 
 
@@ -255,13 +257,13 @@
         return tuple(
             _says(daemon) if daemon.name == self.decider else daemon
             for daemon in (
-                _daemon("d1", own=True),
+                _daemon("d1", is_local=True),
                 _daemon("d2"),
                 _daemon("d3"),
             )
         )
 
-    def believed_count(self):
+    def estimated_count(self):
         return 3
 
 
@@ -385,11 +387,11 @@
     context.view = MemberView(
         clock=context.clock,
         members=context.members,
-        front_address="d0:2",
-        size=0,
+        public_address="d0:2",
+        size_class=0,
         ready=lambda: True,
-        decides=frozenset,
-        least_count=lambda: 1,
+        decided_hashes=frozenset,
+        min_count=lambda: 1,
     )
     context.deciders = Deciders(
         clock=context.clock,
@@ -444,9 +446,9 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch.run)
             await anyio.sleep(0.01)
-            with watch.waiting_for(peer):
+            with watch.cancel_if_silent(peer):
                 for _ in range(40):
-                    watch.heard(peer.address)
+                    watch.record_answer(peer.address)
                     await anyio.sleep(0.05)
                 context.asked = context.network.asked
                 await anyio.sleep(0.5)
@@ -498,5 +500,5 @@
 @then("it says nothing for the first second, and that it decides after it")
 def says_after_a_second(context):
     for at, marks in context.told_at.items():
-        said = marks == frozenset({mark_of(SERVICE)})
+        said = marks == frozenset({service_hash(SERVICE)})
         assert said == (at >= 1_000.0), (at, marks)
--- a/features/steps/member_view_steps.py
+++ b/features/steps/member_view_steps.py
@@ -7,7 +7,7 @@
 
 from cactusdyke.clock import Clock
 from cactusdyke.membership.member import Member
-from cactusdyke.serving.member_view import FRESH_MS, MemberView
+from cactusdyke.serving.member_view import CACHE_MS, MemberView
 
 
 class _Clock(Clock):
@@ -61,11 +61,11 @@
     context.view = MemberView(
         clock=context.clock,
         members=context.members,
-        front_address="d0:80",
-        size=0,
+        public_address="d0:80",
+        size_class=0,
         ready=lambda: True,
-        decides=frozenset,
-        least_count=lambda: 1,
+        decided_hashes=frozenset,
+        min_count=lambda: 1,
     )
     for number in range(1, count):
         context.members.hear(f"d{number}", _said(number))
@@ -85,7 +85,7 @@
     context.members.members["d9"] = attrs.evolve(
         context.members.members["d9"], revision=5
     )
-    context.clock.at += FRESH_MS
+    context.clock.at += CACHE_MS
     context.change = change
     context.after = {d.name: d for d in context.view.all()}
 
--- a/features/steps/quarantine_evidence_steps.py
+++ b/features/steps/quarantine_evidence_steps.py
@@ -19,14 +19,14 @@
 from cactusdyke.infrastructure.watched_store import Listing, StoreObject
 from cactusdyke.platform.registry import DaemonRegistry
 from cactusdyke.serving.crash_suspects import (
-    CRASHES,
-    MOST_CRASHES,
-    MOST_SERVED,
-    MOST_SUSPECTS,
-    MOST_TOLD,
+    MAX_CRASHES,
+    MAX_SERVED,
+    MAX_SHARED_REQUESTS,
+    MAX_SUSPECTS,
+    MIN_QUARANTINE_CRASHES,
+    MIN_SHARED_CRASHES,
     QUARANTINE_MS,
     SUSPECT_MS,
-    TOLD_CRASHES,
     CrashSuspects,
 )
 from cactusdyke.serving.measures import ServingMetrics
@@ -59,10 +59,10 @@
 def three_crashes(context):
     context.clock, known = _suspects()
     for number in range(3):
-        known.crashed("bad", f"r{number}")
-        known.crashed("often", f"r{number}") if number < 2 else None
+        known.record_crash("bad", f"r{number}")
+        known.record_crash("often", f"r{number}") if number < 2 else None
         for other in range(20):
-            known.crashed(f"once-{number}-{other}", f"r{number}")
+            known.record_crash(f"once-{number}-{other}", f"r{number}")
     context.known = known
 
 
@@ -70,9 +70,9 @@
 def check_one(context):
     assert context.known.quarantined() == {"bad"}
     context.clock.at = 29 * 60_000.0
-    assert context.known.quarantined_ms("bad") == 60_000.0
+    assert context.known.quarantine_left_ms("bad") == 60_000.0
     context.clock.at = 31 * 60_000.0
-    assert context.known.quarantined_ms("bad") == 0
+    assert context.known.quarantine_left_ms("bad") == 0
     assert context.known.empty
 
 
@@ -81,13 +81,13 @@
     _, context.known = _suspects()
     for number in range(3):
         for digest in ("bad", "sound"):
-            context.known.crashed(digest, f"r{number}")
+            context.known.record_crash(digest, f"r{number}")
 
 
 @then("neither is quarantined until a replica crashes under one of them alone")
 def check_apart(context):
     assert context.known.quarantined() == set()
-    context.known.crashed("bad", "r9")
+    context.known.record_crash("bad", "r9")
     assert context.known.quarantined() == {"bad"}
 
 
@@ -96,18 +96,18 @@
     context.clock, context.known = _suspects()
     for number in range(9):
         context.clock.at += 1_000.0
-        context.known.crashed("sound", f"r{number}")
+        context.known.record_crash("sound", f"r{number}")
         if number % 2:
             context.clock.at += 1_000.0
-            context.known.served("sound")
+            context.known.record_served("sound")
 
 
 @then("it is not quarantined, whatever older evidence comes late")
 def check_cleared(context):
     for number in range(9):
-        context.known.crashed("sound", f"r{number}", 500.0 + number)
+        context.known.record_crash("sound", f"r{number}", 500.0 + number)
     assert context.known.quarantined() == set()
-    assert context.known.crashes("sound") == ["r8"]
+    assert context.known.crashed_replicas("sound") == ["r8"]
 
 
 @when("evidence {bound}")
@@ -115,27 +115,27 @@
     context.clock, context.known = _suspects()
     known, clock = context.known, context.clock
     for number in range(3):
-        known.crashed("bad", f"r{number}")
+        known.record_crash("bad", f"r{number}")
     tracemalloc.start()
     match bound:
         case "is of ten thousand requests":
             for number in range(10_000):
-                known.crashed(f"once-{number}", f"r{number // 50}")
+                known.record_crash(f"once-{number}", f"r{number // 50}")
         case "names ten thousand crashes":
             for number in range(10_000):
-                known.crashed("bad", f"r{number}")
+                known.record_crash("bad", f"r{number}")
         case "is of requests that are served":
             for number in range(10_000):
-                known.crashed(f"once-{number}", "r0")
-                known.served(f"once-{number}")
+                known.record_crash(f"once-{number}", "r0")
+                known.record_served(f"once-{number}")
         case "grows old":
-            known.crashed("once", "r0")
+            known.record_crash("once", "r0")
             clock.at += SUSPECT_MS + 1
-            assert known.to_wire(least=1)["crashes"]
+            assert known.encode(min_crashes=1)["crashes"]
             assert "once" not in known
             assert known.quarantined() == {"bad"}
             clock.at += QUARANTINE_MS
-            assert known.to_wire(least=1) is None
+            assert known.encode(min_crashes=1) is None
     context.held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
@@ -143,13 +143,15 @@
 @then("what is known stays bounded")
 def check_bounded(context):
     known = context.known
-    assert len(known._suspects) <= MOST_SUSPECTS
-    assert len(known._served) <= MOST_SERVED
-    assert len(known.crashes("bad")) <= MOST_CRASHES
+    assert len(known._suspects) <= MAX_SUSPECTS
+    assert len(known._served) <= MAX_SERVED
+    assert len(known.crashed_replicas("bad")) <= MAX_CRASHES
     assert context.held < 2_000_000, context.held
     if not known.empty:
         assert known.quarantined() == {"bad"}
-        told = known.to_wire(least=TOLD_CRASHES, most=MOST_TOLD)
+        told = known.encode(
+            min_crashes=MIN_SHARED_CRASHES, max_requests=MAX_SHARED_REQUESTS
+        )
         assert len(json.dumps(told)) < 16_000
 
 
@@ -165,8 +167,8 @@
             clock.at = 1_000.0
             for digest, crashed, served in lines:
                 if served and digest == 0:
-                    known.served("0", 500.0)
-                known.crashed(str(digest), str(crashed), 100.0 + crashed)
+                    known.record_served("0", 500.0)
+                known.record_crash(str(digest), str(crashed), 100.0 + crashed)
             return known.quarantined()
 
         again = [*evidence, *evidence[:5]]
@@ -210,7 +212,7 @@
     waiting = []
     alone = 0
     for number in range(12):
-        if known.quarantined_ms("bad"):
+        if known.quarantine_left_ms("bad"):
             break
         beside = [f"new-{number}-{n}" for n in range(rng.randrange(3))]
         back = [s for s in waiting if rng.random() < 0.7]
@@ -218,10 +220,10 @@
         for digest in rng.sample(
             ["bad", *beside, *back], 1 + len(beside + back)
         ):
-            known.crashed(digest, f"r{number}")
+            known.record_crash(digest, f"r{number}")
         blamed |= known.quarantined() - {"bad"}
         for sound in set(waiting) - set(back):
-            known.served(sound)
+            known.record_served(sound)
         waiting = back + beside
     return blamed, alone
 
@@ -239,7 +241,7 @@
 def check_mixes(context):
     for blamed, alone in context.storms[CrashSuspects]:
         assert not blamed, blamed
-        assert alone <= CRASHES
+        assert alone <= MIN_QUARANTINE_CRASHES
 
 
 @then("a rule that counts crashes only is caught")
@@ -260,7 +262,7 @@
         clock=hub.clock,
         network=hub.network("d0"),
         connections=Replicas(),
-        daemons=FixedDaemons((peer(0, own=True),)),
+        daemons=FixedDaemons((peer(0, is_local=True),)),
         store=Saved(),
         metrics=ServingMetrics(prometheus_client.CollectorRegistry()),
     )
@@ -308,7 +310,7 @@
             registry = _registry(hub, context.store, quarantine)
             await registry.save_quarantine()
             await registry.announce_stop()
-            quarantine.take(GOOD)
+            quarantine.merge(GOOD)
             await registry.save_quarantine()
 
     run_virtual(story)
@@ -341,7 +343,7 @@
 def check_kept_saved(context):
     assert len(context.store.written) == 1, context.store.written
     evidence = context.store.written[0]["crashes"]["evidence"]
-    assert len(evidence["crashes"]) == CRASHES
+    assert len(evidence["crashes"]) == MIN_QUARANTINE_CRASHES
     assert context.refused is not None
 
 
@@ -352,7 +354,7 @@
             quarantine = _quarantine(hub)
             hub.start(quarantine.run)
             await anyio.sleep(0.1)
-            quarantine.take(GOOD)
+            quarantine.merge(GOOD)
             answer = await quarantine.handle(
                 Request(method="POST", path="/", body=value.encode())
             )
--- a/features/steps/quarantine_fleet_steps.py
+++ b/features/steps/quarantine_fleet_steps.py
@@ -122,12 +122,12 @@
         for number in range(60):
             for quarantine in fleet.quarantines.values():
                 ask = request(f"sound-{number}")
-                quarantine.attempt_broke(ask, replica(number % 5))
+                quarantine.on_attempt_broken(ask, replica(number % 5))
                 assert quarantine.refusal(ask) is None
-                quarantine.served(ask)
+                quarantine.on_served(ask)
             await anyio.sleep(1.0)
         context.messages = fleet.messages.total()
-        riders = [q.rider for q in fleet.quarantines.values()]
+        riders = [q.attachment for q in fleet.quarantines.values()]
         context.carried = [r.write(None) for r in riders]
 
     _play(context, story, probes=True)
@@ -188,7 +188,7 @@
         for number in range(2):
             fleet.crash(number, {names[number]: [BAD]})
             await anyio.sleep(0.5)
-        fleet.quarantines[places[where]].served(request(BAD))
+        fleet.quarantines[places[where]].on_served(request(BAD))
         await anyio.sleep(0.5)
         fleet.crash(2, {names[2]: [BAD]})
         await anyio.sleep(2.0)
--- a/features/steps/quarantine_process_steps.py
+++ b/features/steps/quarantine_process_steps.py
@@ -236,8 +236,8 @@
         daemon = await world.start_daemon("d4")
         await callers.crashing("d4")
         quarantine = daemon._core.quarantine
-        await until(lambda: not quarantine.known.empty)
-        digest = quarantine.known.to_wire()["crashes"][0][0]
+        await until(lambda: not quarantine.suspects.empty)
+        digest = quarantine.suspects.encode()["crashes"][0][0]
         context.before = len(callers.arrivals)
         stage = next(r for r in callers.replicas if r.name == "s1")
         stage.work_ms = 500.0
@@ -250,7 +250,7 @@
             tasks.start_soon(ask)
             await anyio.sleep(0.2)
             crashes = [[digest, f"elsewhere-{n}", 10] for n in range(2)]
-            quarantine.take({"crashes": crashes, "served": []})
+            quarantine.merge({"crashes": crashes, "served": []})
 
     _play(context, story)
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -451,15 +451,15 @@
             PeerDaemon(
                 name=name,
                 address=f"{name}:1",
-                front_address="",
+                public_address="",
                 data_centre="here",
                 ready=True,
-                own=name == "d1",
+                is_local=name == "d1",
             )
             for name in ("d1", "d2", "d3")
         )
 
-    def believed_count(self):
+    def estimated_count(self):
         return 3
 
 
--- a/features/steps/state_readers_steps.py
+++ b/features/steps/state_readers_steps.py
@@ -7,8 +7,8 @@
 
 from cactusdyke.clock import EventLoopClock
 from cactusdyke.serving import state_readers
-from cactusdyke.serving.state_exchange import WAIT_MS
-from cactusdyke.serving.state_readers import LEAST_READERS
+from cactusdyke.serving.state_exchange import LONG_POLL_MS
+from cactusdyke.serving.state_readers import MIN_READERS
 from features.support.state_fleet import (
     KIND,
     StateFleet,
@@ -23,14 +23,14 @@
 @when("{count:d} daemons in five data centres choose who reads the store")
 def choose(context, count):
     context.daemons = [peer(n, data_centres=FIVE) for n in range(count)]
-    context.readers = state_readers.readers(context.daemons)
+    context.readers = state_readers.choose_readers(context.daemons)
     context.sources = _sources(context.daemons, ())
 
 
 def _sources(daemons, avoided):
-    chosen = state_readers.readers(daemons)
+    chosen = state_readers.choose_readers(daemons)
     return {
-        daemon.name: state_readers.source(daemon, chosen, avoided)
+        daemon.name: state_readers.choose_source(daemon, chosen, avoided)
         for daemon in daemons
     }
 
@@ -64,11 +64,11 @@
 @when("hosts of two sizes choose who reads the store")
 def choose_large(context):
     daemons = [
-        *(peer(n, data_centres=("a",), size=-2) for n in range(20)),
-        peer(20, data_centres=("a",), size=0, settled=False),
-        peer(21, data_centres=("a",), size=0),
+        *(peer(n, data_centres=("a",), size_class=-2) for n in range(20)),
+        peer(20, data_centres=("a",), size_class=0, warmed_up=False),
+        peer(21, data_centres=("a",), size_class=0),
     ]
-    context.readers = state_readers.readers(daemons)
+    context.readers = state_readers.choose_readers(daemons)
 
 
 @then("the first reader is a large host that has run for a while")
@@ -98,7 +98,7 @@
             await anyio.sleep(1.5)
         context.callers = dict(fleet.attempts)
         context.readers = fleet.readers
-        assert len(context.readers) == LEAST_READERS
+        assert len(context.readers) == MIN_READERS
         context.seen = {n: s.seen for n, s in fleet.states.items()}
 
     _play(context, story)
@@ -106,7 +106,7 @@
 
 @then("only its readers call the store, for each change and each wait once")
 def check_calls(context):
-    waits = 30_000.0 / WAIT_MS
+    waits = 30_000.0 / LONG_POLL_MS
     assert set(context.callers) == set(context.readers), context.callers
     for name, calls in context.callers.items():
         assert calls <= 20 + waits + 1, (name, calls)
@@ -210,7 +210,7 @@
 def older_state(context):
     async def story():
         state = Things(store=None, clock=EventLoopClock())
-        state.take(
+        state.merge(
             {"revision": 9, "age_ms": 0, "objects": [["new", 9, {}]]},
             source="d1",
         )
@@ -218,7 +218,7 @@
             {"revision": 5, "age_ms": 0, "objects": [["old", 5, {}]]},
             {"revision": 8, "age_ms": 0, "changes": [["old", 8, {}, False]]},
         ):
-            state.take(older, source="d2")
+            state.merge(older, source="d2")
         context.state = state
 
     virtual.run_virtual(story, seed=1)
--- a/features/support/decider_machine.py
+++ b/features/support/decider_machine.py
@@ -57,17 +57,17 @@
         return PeerDaemon(
             name=self.name,
             address=f"{self.name}:1",
-            front_address="",
+            public_address="",
             data_centre="here",
             ready=self.ready,
-            decides=self.decided.marks,
+            decided_hashes=self.decided.marks,
         )
 
     def all(self):
-        own = attrs.evolve(self.told(), own=True)
+        own = attrs.evolve(self.told(), is_local=True)
         return (own, *(d for n, d in self.view.items() if n != self.name))
 
-    def believed_count(self):
+    def estimated_count(self):
         return len(NAMES)
 
     def first(self):
@@ -157,26 +157,28 @@
     """A naive version: the members' hash alone decides."""
 
     def heal(self, order):
-        kept = peers.mark_of
-        peers.mark_of = lambda service: -1
+        kept = peers.service_hash
+        peers.service_hash = lambda service: -1
         try:
             super().heal(order)
         finally:
-            peers.mark_of = kept
+            peers.service_hash = kept
 
 
 class OwnFirstMachine(DeciderMachine):
     """A naive version: each daemon prefers itself once it has decided."""
 
     def heal(self, order):
-        kept = peers.ranked
+        kept = peers.rank_deciders
 
         def own_first(service, daemons, silent):
             found = kept(service, daemons, silent)
-            return sorted(found, key=lambda d: not (d.own and d.decides))
+            return sorted(
+                found, key=lambda d: not (d.is_local and d.decided_hashes)
+            )
 
-        peers.ranked = own_first
+        peers.rank_deciders = own_first
         try:
             super().heal(order)
         finally:
-            peers.ranked = kept
+            peers.rank_deciders = kept
--- a/features/support/quarantine_fleet.py
+++ b/features/support/quarantine_fleet.py
@@ -93,7 +93,8 @@
     @property
     def collectors(self):
         return [
-            daemon.name for daemon in state_readers.readers(self._all(None))
+            daemon.name
+            for daemon in state_readers.choose_readers(self._all(None))
         ]
 
     @property
@@ -107,7 +108,9 @@
         self.replicas.down.add(crashed.address)
         for name, digests in seen.items():
             for digest in digests:
-                self.quarantines[name].attempt_broke(request(digest), crashed)
+                self.quarantines[name].on_attempt_broken(
+                    request(digest), crashed
+                )
 
     def lose(self, name):
         """Has all others believe that a daemon is gone."""
@@ -130,7 +133,7 @@
 
     def _all(self, own):
         return tuple(
-            peer(n, own=f"d{n}" == own)
+            peer(n, is_local=f"d{n}" == own)
             for n in range(self._count)
             if f"d{n}" in self.quarantines or own is None or f"d{n}" == own
         )
@@ -138,7 +141,7 @@
     def _start(self, number):
         name = f"d{number}"
         view = FixedDaemons(
-            tuple(peer(n, own=n == number) for n in range(self._count))
+            tuple(peer(n, is_local=n == number) for n in range(self._count))
         )
         quarantine = Quarantine(
             clock=self.hub.clock_of(name),
@@ -162,7 +165,7 @@
 
     async def _probe(self):
         """Lets each daemon exchange what membership's messages carry."""
-        riders = {n: q.rider for n, q in self.quarantines.items()}
+        riders = {n: q.attachment for n, q in self.quarantines.items()}
         while True:
             await anyio.sleep(PROBE_EVERY_S)
             for name in riders:
--- a/features/support/state_fleet.py
+++ b/features/support/state_fleet.py
@@ -25,7 +25,7 @@
     return PeerDaemon(
         name=f"d{number}",
         address=f"d{number}:1",
-        front_address=f"d{number}:80",
+        public_address=f"d{number}:80",
         data_centre=data_centres[number % len(data_centres)],
         **{"ready": True, **values},
     )
@@ -38,7 +38,7 @@
     def all(self) -> tuple[PeerDaemon, ...]:
         return self._daemons
 
-    def believed_count(self) -> int:
+    def estimated_count(self) -> int:
         return len(self._daemons)
 
 
@@ -53,10 +53,10 @@
     def names(self) -> set[str]:
         return set(self._objects)
 
-    def _applied(self, source: str) -> None:
+    def _apply_objects(self, source: str) -> None:
         self.seen.append(f"all by {source}")
 
-    def _changed(self, change) -> None:
+    def _apply_change(self, change) -> None:
         self.seen.append(change.object.name)
 
 
@@ -85,7 +85,7 @@
 
     @property
     def readers(self) -> list[str]:
-        return [name for name, e in self.exchanges.items() if e.reads]
+        return [name for name, e in self.exchanges.items() if e.reads_store]
 
     @property
     def calls(self) -> int:
@@ -127,7 +127,9 @@
             ),
             clock=clock,
         )
-        daemons = tuple(peer(n, own=n == number) for n in range(self._count))
+        daemons = tuple(
+            peer(n, is_local=n == number) for n in range(self._count)
+        )
         exchange = StateExchange(
             clock=clock,
             rng=random.Random(self._rng.random()),
