--- a/cactusdyke/serving/followed_state.py
+++ b/cactusdyke/serving/followed_state.py
@@ -1,4 +1,4 @@
-"""A kind of the store's objects, kept up to date from the store or a peer."""
+"""A copy of the store's objects of one kind, updated from store or peers."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
     from cactusdyke.infrastructure.watched_store import WatchedStore
 
 MAX_BATCHES = 500
-"""Changes kept for daemons that follow this one; older ones list all."""
+"""Batches of changes kept for followers; a follower behind them gets all
+objects."""
 
 
 @attrs.frozen(kw_only=True)
 class _Batch:
-    """Changes that came together, and the revision that they lead to."""
+    """Changes received together, and the revision that they lead to."""
 
     revision: int
     changes: tuple[Change, ...]
 
 
 class FollowedState(abc.ABC):
-    """Lists a kind, then follows its changes; keeps all through outages.
+    """Lists a kind, then applies its changes; keeps its state in outages.
 
-    Its revision only grows, whoever told it: the store itself, or another
-    daemon that reads the store.
+    Its revision never decreases, whether updates come from the store itself or
+    from another daemon that reads the store.
     """
 
     def __init__(self, *, kind: str, store: WatchedStore, clock: Clock) -> None:
@@ -46,34 +47,34 @@
         self._revision = 0
         self._listed = False
         self._confirmed_at: Instant = clock.now()
-        self._lost = False
+        self._store_lost = False
         self._batches: collections.deque[_Batch] = collections.deque()
-        self._oldest = 0
-        self._on_change: Callable[[], None] = lambda: None
+        self._oldest_revision = 0
+        self._change_hook: Callable[[], None] = lambda: None
 
     @property
     def name(self) -> str:
-        """Names the state among those that daemons exchange."""
+        """The state's name in exchanges between daemons."""
         return self._kind
 
     @property
     def revision(self) -> int:
-        """The store's revision that the state is of, 0 before the first."""
+        """The store's revision of this state, 0 before the first update."""
         return self._revision
 
     @property
     def listed(self) -> bool:
-        """Whether all objects are known, and changes are enough from now on."""
+        """Whether all objects have been listed, so that changes suffice."""
         return self._listed
 
     @property
     def age_ms(self) -> float:
-        """How long ago the store last said that nothing newer was there."""
+        """Time since the store last confirmed this state as current, in ms."""
         return self._clock.now() - self._confirmed_at
 
     def on_change(self, hook: Callable[[], None]) -> None:
-        """Calls `hook` after each change."""
-        self._on_change = hook
+        """Sets the hook that is called after each change."""
+        self._change_hook = hook
 
     async def read(self, *, wait_ms: float) -> Result[bool, Failure]:
         """Reads from the store; returns whether anything has changed.
@@ -82,8 +83,8 @@
             wait_ms: How long the store may wait for a change.
         """
         read = await (self._watch(wait_ms) if self._listed else self._list())
-        if isinstance(read, Err) and not self._lost:
-            self._lost = True
+        if isinstance(read, Err) and not self._store_lost:
+            self._store_lost = True
             events.log(
                 events.Event.SERVING_SOURCE_LOST,
                 kind=self._kind,
@@ -93,18 +94,21 @@
         return read
 
     def has_changes_since(self, revision: int) -> bool:
-        """Whether a daemon that is at a revision lacks something."""
-        if revision < self._oldest:
+        """Whether something has changed since a revision."""
+        if revision < self._oldest_revision:
             return True
         return bool(self._batches) and self._batches[-1].revision > revision
 
     def encode_since(self, revision: int) -> dict[str, Any]:
-        """Returns what a daemon lacks that is at a revision."""
+        """Returns the changes since a revision, or all objects, as JSON values.
+
+        All objects are sent if changes since that revision are no longer kept.
+        """
         body: dict[str, Any] = {
             "revision": self._revision,
             "age_ms": round(self.age_ms),
         }
-        if revision < self._oldest:
+        if revision < self._oldest_revision:
             objects = self._objects.values()
             body["objects"] = [[o.name, o.revision, o.spec] for o in objects]
         else:
@@ -117,10 +121,14 @@
         return body
 
     def merge(self, body: Mapping[str, Any], *, source: str) -> None:
-        """Takes what another daemon knows, unless it is older.
+        """Applies another daemon's state unless it is older than this one.
+
+        Args:
+            body: The state as `encode_since` returned it.
+            source: Name of the daemon that sent it.
 
         Raises:
-            KeyError, TypeError, ValueError: The value is of no known form.
+            KeyError, TypeError, ValueError: The body is malformed.
         """
         revision, age_ms = int(body["revision"]), float(body["age_ms"])
         if revision < self._revision or not revision:
@@ -128,7 +136,7 @@
         if "objects" in body:
             if revision > self._revision:
                 before = self._revision
-                objects = [_from_wire(value) for value in body["objects"]]
+                objects = [_decode_object(value) for value in body["objects"]]
                 self._replace(objects, revision, source)
                 events.log(
                     events.Event.SERVING_PEER_NEWER,
@@ -141,24 +149,24 @@
         else:
             self._apply_changes(
                 [
-                    Change(object=_from_wire(value), deleted=bool(deleted))
+                    Change(object=_decode_object(value), deleted=bool(deleted))
                     for *value, deleted in body["changes"]
                 ],
                 revision,
             )
-        self._confirm(self._clock.now() - age_ms)
+        self._record_confirmation(self._clock.now() - age_ms)
 
     async def _list(self) -> Result[bool, Failure]:
         answer = await self._store.list(self._kind)
         if isinstance(answer, Err):
             return answer
         listing = answer.ok_value
-        # Another daemon may have told a newer state meanwhile.
+        # A peer may have sent a newer state in the meantime.
         newer = listing.revision >= self._revision
         if newer:
             self._replace(listing.objects, listing.revision, "store")
         self._listed = True
-        self._heard()
+        self._on_store_answer()
         return Ok(newer)
 
     async def _watch(self, wait_ms: float) -> Result[bool, Failure]:
@@ -167,7 +175,7 @@
         )
         if isinstance(answer, Err):
             return answer
-        self._heard()
+        self._on_store_answer()
         if answer.ok_value.lost:
             self._listed = False
             return Ok(False)
@@ -176,35 +184,35 @@
             self._apply_changes(changes, answer.ok_value.revision)
         return Ok(bool(changes))
 
-    def _heard(self) -> None:
-        self._confirm(self._clock.now())
-        if self._lost:
-            self._lost = False
+    def _on_store_answer(self) -> None:
+        self._record_confirmation(self._clock.now())
+        if self._store_lost:
+            self._store_lost = False
             events.log(
                 events.Event.SERVING_SOURCE_REGAINED,
                 kind=self._kind,
                 revision=self._revision,
             )
 
-    def _confirm(self, at: Instant) -> None:
+    def _record_confirmation(self, at: Instant) -> None:
         self._confirmed_at = max(self._confirmed_at, at)
 
     def _replace(
         self, objects: Sequence[StoreObject], revision: int, source: str
     ) -> None:
         self._objects = {entry.name: entry for entry in objects}
-        self._revision = self._oldest = revision
+        self._revision = self._oldest_revision = revision
         self._batches.clear()
         self._listed = True
         self._apply_objects(source)
-        self._on_change()
+        self._change_hook()
 
     def _apply_changes(self, changes: Sequence[Change], revision: int) -> None:
         self._revision = revision
         if not changes:
             return
         if len(self._batches) >= MAX_BATCHES:
-            self._oldest = self._batches.popleft().revision
+            self._oldest_revision = self._batches.popleft().revision
         self._batches.append(_Batch(revision=revision, changes=tuple(changes)))
         for change in changes:
             if change.deleted:
@@ -212,17 +220,17 @@
             else:
                 self._objects[change.object.name] = change.object
             self._apply_change(change)
-        self._on_change()
+        self._change_hook()
 
     @abc.abstractmethod
     def _apply_objects(self, source: str) -> None:
-        """Puts all objects in force."""
+        """Applies all objects; `source` is the store or a daemon's name."""
 
     @abc.abstractmethod
     def _apply_change(self, change: Change) -> None:
-        """Puts one change in force."""
+        """Applies one change."""
 
 
-def _from_wire(value: Sequence[Any]) -> StoreObject:
+def _decode_object(value: Sequence[Any]) -> StoreObject:
     name, revision, spec = value
     return StoreObject(name=str(name), revision=int(revision), spec=spec)
--- a/cactusdyke/serving/member_view.py
+++ b/cactusdyke/serving/member_view.py
@@ -1,4 +1,4 @@
-"""The daemons of the deployment, from membership and what they tell."""
+"""The daemons of the deployment, from membership and announcements."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from cactusdyke.membership.members import Members
 
 WARM_UP_MS = 2_000.0
-"""By then a daemon that has just started knows its members and the store."""
+"""Time in which a started daemon learns the members and the store's state."""
 MAX_ANNOUNCED_HASHES = 16
-"""Marks told of; what a daemon decides beyond may move sooner."""
+"""Services beyond this are not announced and may change decider sooner."""
 ATTACHMENT_KEY = "front"
 CACHE_MS = 50.0
-"""Gossip itself takes half a second to reach all."""
+"""Small beside gossip, which takes half a second to reach all daemons."""
 
 
 class MemberView(PeerDaemons):
-    """Joins membership with each daemon's front address and readiness."""
+    """Joins membership with what each daemon announces over gossip."""
 
     def __init__(
         self,
@@ -42,111 +42,114 @@
         self._clock = clock
         self._started_at = clock.now()
         self._members = members
-        self._front_address = public_address
-        self._size = size_class
+        self._public_address = public_address
+        self._size_class = size_class
         self._ready = ready
-        self._decides = decided_hashes
-        self._least_count = min_count
+        self._decided_hashes = decided_hashes
+        self._min_count = min_count
         self._busy = busy
-        self._told: dict[str, Mapping[str, Any]] = {}
-        self._described: dict[str, tuple[Mapping[str, Any], PeerDaemon]] = {}
-        self._known: tuple[PeerDaemon, ...] = ()
-        self._fresh_until: Instant = -math.inf
-        members.attach(ATTACHMENT_KEY, self._tell, self._hear)
+        self._announced: dict[str, Mapping[str, Any]] = {}
+        self._cache: dict[str, tuple[Mapping[str, Any], PeerDaemon]] = {}
+        self._daemons: tuple[PeerDaemon, ...] = ()
+        self._valid_until: Instant = -math.inf
+        members.attach(
+            ATTACHMENT_KEY, self._announcement, self._record_announcement
+        )
 
     def all(self) -> tuple[PeerDaemon, ...]:
-        """Returns every daemon believed alive and not leaving, and this one.
+        """Returns every daemon presumed alive and not leaving, and this one.
 
-        The same tuple as long as nothing has changed: asked some thirty times
-        a request, it was seen to take a third of a daemon's time among 75.
+        Returns the same tuple until something changes. It is called about 30
+        times a request; without the cache it took a third of a daemon's
+        processor time among 75 daemons.
         """
         now = self._clock.now()
-        if now >= self._fresh_until:
-            self._fresh_until = now + CACHE_MS
-            known = self._now()
-            if known != self._known:
-                self._known = known
-        return self._known
-
-    def _now(self) -> tuple[PeerDaemon, ...]:
+        if now >= self._valid_until:
+            self._valid_until = now + CACHE_MS
+            known = self._build()
+            if known != self._daemons:
+                self._daemons = known
+        return self._daemons
+
+    def _build(self) -> tuple[PeerDaemon, ...]:
         own_name = self._members.own.name
         others = [
-            self._daemon(member)
+            self._remote_daemon(member)
             for member in self._members.serving()
-            if member.name != own_name and member.name in self._told
+            if member.name != own_name and member.name in self._announced
         ]
-        return (self._own(), *others)
+        return (self._local_daemon(), *others)
 
     def estimated_count(self) -> int:
-        """Returns how many daemons there may be, those believed dead too."""
-        return max(self._members.known_count, self._least_count())
+        """Returns an upper estimate that includes daemons presumed dead."""
+        return max(self._members.known_count, self._min_count())
 
     def daemons_for_callers(self) -> list[PeerDaemon]:
-        """Returns where callers are sent: ready daemons, or any known."""
+        """Returns the ready daemons; if there are none, the others known."""
         known = [d for d in self.all() if d.public_address]
         ready = [d for d in known if d.ready]
         others = [d for d in known if not d.is_local]
         return ready or others or known
 
-    def _own(self) -> PeerDaemon:
+    def _local_daemon(self) -> PeerDaemon:
         own = self._members.own
         leaving = own.state is MemberState.LEAVING
         return PeerDaemon(
             name=own.name,
             address=own.address,
-            public_address=self._front_address,
+            public_address=self._public_address,
             data_centre=own.data_centre,
             ready=self._ready() and not leaving,
-            warmed_up=self._settled(),
-            size_class=self._size,
-            decided_hashes=self._decides(),
+            warmed_up=self._is_warmed_up(),
+            size_class=self._size_class,
+            decided_hashes=self._decided_hashes(),
             busy=self._busy(),
             is_local=True,
         )
 
-    def _daemon(self, member: Member) -> PeerDaemon:
-        """Returns a daemon, described anew only if something has changed.
+    def _remote_daemon(self, member: Member) -> PeerDaemon:
+        """Returns a daemon, rebuilt only if something has changed.
 
-        All are asked for with nearly each request, and there may be hundreds.
+        Nearly every request needs all daemons, and there may be hundreds.
         """
-        told = self._told[member.name]
-        told_before, daemon = self._described.get(member.name, (None, None))
+        announced = self._announced[member.name]
+        previous, daemon = self._cache.get(member.name, (None, None))
         if (
             daemon is None
-            or told_before is not told
+            or previous is not announced
             or daemon.address != member.address
             or daemon.data_centre != member.data_centre
         ):
-            daemon = _describe(member, told)
-            self._described[member.name] = (told, daemon)
+            daemon = _decode(member, announced)
+            self._cache[member.name] = (announced, daemon)
         return daemon
 
-    def _tell(self) -> Mapping[str, Any]:
+    def _announcement(self) -> Mapping[str, Any]:
         return {
-            "a": self._front_address,
+            "a": self._public_address,
             "r": int(self._ready()),
-            "s": int(self._settled()),
-            "w": self._size,
+            "s": int(self._is_warmed_up()),
+            "w": self._size_class,
             "b": int(self._busy()),
-            "d": sorted(self._decides())[:MAX_ANNOUNCED_HASHES],
+            "d": sorted(self._decided_hashes())[:MAX_ANNOUNCED_HASHES],
         }
 
-    def _settled(self) -> bool:
+    def _is_warmed_up(self) -> bool:
         return self._clock.now() - self._started_at > WARM_UP_MS
 
-    def _hear(self, name: str, value: Mapping[str, Any]) -> None:
-        self._told[name] = value
+    def _record_announcement(self, name: str, value: Mapping[str, Any]) -> None:
+        self._announced[name] = value
 
 
-def _describe(member: Member, told: Mapping[str, Any]) -> PeerDaemon:
+def _decode(member: Member, announced: Mapping[str, Any]) -> PeerDaemon:
     return PeerDaemon(
         name=member.name,
         address=member.address,
-        public_address=str(told.get("a", "")),
+        public_address=str(announced.get("a", "")),
         data_centre=member.data_centre,
-        ready=bool(told.get("r")),
-        warmed_up=bool(told.get("s")),
-        size_class=int(told.get("w", 0)),
-        decided_hashes=frozenset(told.get("d", ())),
-        busy=bool(told.get("b")),
+        ready=bool(announced.get("r")),
+        warmed_up=bool(announced.get("s")),
+        size_class=int(announced.get("w", 0)),
+        decided_hashes=frozenset(announced.get("d", ())),
+        busy=bool(announced.get("b")),
     )
--- a/cactusdyke/serving/peer_watch.py
+++ b/cactusdyke/serving/peer_watch.py
@@ -1,4 +1,4 @@
-"""Finds out quickly that a daemon one waits for has gone silent."""
+"""Detects within a second that a daemon with pending calls is silent."""
 
 from __future__ import annotations
 
@@ -25,65 +25,68 @@
 ALIVE_PATH = "/internal/v1/alive"
 PROBE_INTERVAL_MS = 150.0
 PROBE_TIMEOUT_MS = 250.0
-MAX_FAILED_PROBES = 2
-"""One question lost on the way must not move a whole service's batches."""
+SILENT_AFTER_FAILED_PROBES = 2
+"""With 1, a single lost probe would move all batches of a service."""
 AVOIDANCE_MS = 2_000.0
+"""How long a silent daemon gets no calls."""
 
 
 class PeerWatch(Service):
-    """Asks each daemon that something waits for whether it is still there.
+    """Probes each daemon that has pending calls from this one.
 
-    A call that waits for a batch says nothing for as long as the batch takes.
-    A frozen or cut-off daemon is silent too; only a question tells them apart.
-    One task a daemon asks, however many calls wait for it.
+    A call for a batch receives no bytes for as long as the batch takes, which
+    looks the same as a frozen or unreachable daemon; a probe tells them apart.
+    One task probes each daemon, however many calls are pending there.
     """
 
     def __init__(self, *, clock: Clock, network: Network) -> None:
         self._clock = clock
         self._network = network
-        self._waiting: dict[str, list[anyio.CancelScope]] = {}
-        self._silent: dict[str, Instant] = {}
-        self._watched: set[str] = set()
-        self._heard: dict[str, Instant] = {}
+        self._scopes: dict[str, list[anyio.CancelScope]] = {}
+        self._silent_until: dict[str, Instant] = {}
+        self._probed: set[str] = set()
+        self._answered_at: dict[str, Instant] = {}
         self._tasks: TaskGroup | None = None
 
     @property
     def silent(self) -> dict[str, Instant]:
-        """Daemons that did not answer, and until when they are avoided."""
+        """Silent daemons, each with the time until which it is avoided."""
         now = self._clock.now()
-        self._silent = {n: at for n, at in self._silent.items() if at > now}
-        return self._silent
+        self._silent_until = {
+            n: at for n, at in self._silent_until.items() if at > now
+        }
+        return self._silent_until
 
     def mark_silent(self, peer: PeerDaemon, *, detail: str) -> None:
-        """Avoids a daemon for a while."""
+        """Records that a daemon does not answer; it is avoided for a while."""
         if peer.name not in self.silent:
             events.log(events.Event.PEER_SILENT, peer=peer.name, detail=detail)
-        self._silent[peer.name] = self._clock.now() + AVOIDANCE_MS
+        self._silent_until[peer.name] = self._clock.now() + AVOIDANCE_MS
 
     def record_answer(self, address: str) -> None:
-        """Notes that a daemon has answered something.
+        """Records that a daemon has answered any request.
 
-        What is known need not be asked: beside other messages the questions
-        were two fifths of all that a daemon sent.
+        Recent answers replace probes, which would otherwise be two fifths of
+        all messages that a daemon sends.
         """
-        self._heard[address] = self._clock.now()
+        self._answered_at[address] = self._clock.now()
 
     async def run(self) -> None:
-        """Runs the questions."""
+        """Runs the probes until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
 
     async def handle(self, request: Request) -> Response:
-        """Answers another daemon's question."""
+        """Answers another daemon's probe."""
         del request
         return json_response({})
 
     @contextlib.contextmanager
     def cancel_if_silent(self, peer: PeerDaemon) -> Iterator[anyio.CancelScope]:
-        """Cancels the block when the daemon goes silent."""
+        """Cancels the block when the daemon does not answer probes."""
         with anyio.CancelScope() as scope:
-            scopes = self._waiting.setdefault(peer.name, [])
+            scopes = self._scopes.setdefault(peer.name, [])
             scopes.append(scope)
             self.start_probing(peer)
             try:
@@ -92,28 +95,28 @@
                 scopes.remove(scope)
 
     def start_probing(self, peer: PeerDaemon) -> None:
-        """Begins to ask a daemon, if that is not under way."""
-        if peer.name not in self._watched and self._tasks is not None:
-            self._watched.add(peer.name)
-            self._tasks.start_soon(self._watch, peer)
+        """Starts to probe a daemon, unless it is being probed."""
+        if peer.name not in self._probed and self._tasks is not None:
+            self._probed.add(peer.name)
+            self._tasks.start_soon(self._monitor, peer)
 
-    async def _watch(self, peer: PeerDaemon) -> None:
-        strikes = 0
+    async def _monitor(self, peer: PeerDaemon) -> None:
+        failed_probes = 0
         while True:
             await self._clock.sleep(PROBE_INTERVAL_MS)
-            strikes = 0 if await self._ask(peer) else strikes + 1
-            if not strikes and not self._waiting.get(peer.name):
+            failed_probes = 0 if await self._probe(peer) else failed_probes + 1
+            if not failed_probes and not self._scopes.get(peer.name):
                 break
-            if strikes >= MAX_FAILED_PROBES:
-                self.mark_silent(peer, detail="no answer to two questions")
-                for scope in self._waiting.pop(peer.name, ()):
+            if failed_probes >= SILENT_AFTER_FAILED_PROBES:
+                self.mark_silent(peer, detail="no answer to two probes")
+                for scope in self._scopes.pop(peer.name, ()):
                     scope.cancel()
                 break
-        self._watched.discard(peer.name)
+        self._probed.discard(peer.name)
 
-    async def _ask(self, peer: PeerDaemon) -> bool:
-        heard_at = self._heard.get(peer.address, -math.inf)
-        if self._clock.now() - heard_at < PROBE_INTERVAL_MS:
+    async def _probe(self, peer: PeerDaemon) -> bool:
+        answered_at = self._answered_at.get(peer.address, -math.inf)
+        if self._clock.now() - answered_at < PROBE_INTERVAL_MS:
             return True
         options = CallOptions(
             connect_timeout_ms=PROBE_TIMEOUT_MS,
--- a/cactusdyke/serving/peers.py
+++ b/cactusdyke/serving/peers.py
@@ -1,4 +1,4 @@
-"""The other daemons of a deployment: who serves, and who decides for what."""
+"""The daemons of a deployment, and the ranking of deciders for a service."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @attrs.frozen(kw_only=True)
 class PeerDaemon:
-    """One daemon as others reach it.
+    """One daemon of the deployment, with its addresses and announced state.
 
     Attributes:
         name: Its name.
-        address: Where other daemons reach it.
-        public_address: Where callers reach it, empty if not told yet.
-        data_centre: Where it stands.
+        address: Address for other daemons, `host:port`.
+        public_address: Address for callers, empty until announced.
+        data_centre: Its data centre.
         ready: Whether callers may be sent to it.
-        warmed_up: Whether it has been ready for a while.
-        size_class: The class of its host's processor and link, larger for more.
-        decided_hashes: Marks of the services that it says it decides for.
+        warmed_up: Whether it has run long enough to know members and store.
+        size_class: Class of its host's processor and link; larger is better.
+        decided_hashes: Hashes of the services it announces as decided by it.
         busy: Whether its processor has little time left.
-        is_local: Whether it is this daemon.
+        is_local: Whether it is this daemon itself.
     """
 
     name: str
@@ -43,29 +43,34 @@
 
 
 class PeerDaemons(abc.ABC):
-    """Who the daemons of the deployment are, as seen from here."""
+    """The daemons of the deployment as this daemon sees them."""
 
     @abc.abstractmethod
     def all(self) -> tuple[PeerDaemon, ...]:
-        """Returns every daemon believed alive and not leaving."""
+        """Returns every daemon that is presumed alive and not leaving."""
 
     @abc.abstractmethod
     def estimated_count(self) -> int:
-        """Returns how many daemons there may be, for sharing out budgets.
+        """Returns an upper estimate of the daemon count, for dividing budgets.
 
-        Rather too many than too few: a daemon that is cut off believes the
-        others dead, and each part of a split fleet would spend all there is.
+        It includes daemons presumed dead: in a network partition each side
+        presumes the other dead, and would otherwise spend the whole budget.
         """
 
 
 USEFUL_CORES = 1.0
 USEFUL_LINK_MBPS = 50.0
-"""What the busiest decider of the users' large site was seen to need, doubled;
-hosts above both are alike, and share the services between them."""
+"""Twice the load measured on the busiest decider of a large site. Hosts above
+both values have the same class, so that services spread over all of them."""
 
 
 def size_class(*, cores: float, link_mbps: float) -> int:
-    """Returns the class of a host: a step for each halving below what helps."""
+    """Returns the class of a host: 0 for large hosts, one less per halving.
+
+    Args:
+        cores: Processor cores of the host.
+        link_mbps: Bandwidth of its link, in Mbit/s.
+    """
     share = min(1.0, cores / USEFUL_CORES, link_mbps / USEFUL_LINK_MBPS)
     return math.floor(math.log2(max(share, MIN_SHARE)) + 0.5)
 
@@ -74,9 +79,9 @@
 
 
 def service_hash(service: str) -> int:
-    """Returns a service's mark, short enough to ride on gossip.
+    """Returns a 16-bit hash of a service's name, to be sent with gossip.
 
-    Two services of one mark go to the same daemon, which does no harm.
+    A collision only gives two services the same decider, which is harmless.
     """
     return xxhash.xxh3_64_intdigest(service.encode()) & SERVICE_HASH_MASK
 
@@ -87,25 +92,27 @@
 def rank_deciders(
     service: str, daemons: Iterable[PeerDaemon], silent: Container[str]
 ) -> list[PeerDaemon]:
-    """Returns who decides for a service, the first choice first.
+    """Returns the daemons ranked as deciders for a service, best first.
+
+    Daemons that answer and are ready come first, and among them large hosts,
+    because the batches of all daemons pass through the decider's link.
 
-    Who decides already stays: each change costs fuller batches and what the
-    decider knows of engines. In a round of restarts a service was seen to
-    move at every second one, back to daemons that had just come back.
+    Among equals the current decider is kept, because a change costs batch fill
+    and the decider's state of engines. Without this rule a rolling restart
+    moves a service at every second restart, back to daemons that have just
+    restarted. Daemons that have just started come after the others.
 
-    Otherwise by rendezvous hashing, so that daemons that see the same members
-    agree without a message. A daemon that did not answer lately comes after
-    those that did, and one that has just started after the others. Large hosts
-    come first: the batches of all pass through the decider's link.
+    Ties are broken by rendezvous hashing, so that daemons that see the same
+    members agree without a message.
     """
-    mark = service_hash(service)
+    hash_of_service = service_hash(service)
     return sorted(
         daemons,
         key=lambda d: (
             d.name in silent,
             not d.ready,
             -d.size_class,
-            mark not in d.decided_hashes,
+            hash_of_service not in d.decided_hashes,
             not d.warmed_up,
             xxhash.xxh3_64_intdigest(f"{service}@{d.name}".encode()),
         ),
--- a/cactusdyke/serving/state_exchange.py
+++ b/cactusdyke/serving/state_exchange.py
@@ -1,4 +1,4 @@
-"""Keeps the store's states up to date: from the store, or from a daemon."""
+"""Keeps copies of the store's state current, from the store or from a peer."""
 
 from __future__ import annotations
 
@@ -29,27 +29,29 @@
 
 STATE_PATH = "/internal/v1/known-state"
 LONG_POLL_MS = 900.0
-"""How long the store, or a daemon that reads it, may wait for a change."""
+"""Longest time that the store or a reader holds a call open for a change."""
 TIMEOUT_MARGIN_MS = 350.0
-"""With it a silent reader is found out in 1.25 s. The shortest time in which a
-change has to be in force is 2 s, and one call to the store is left to make."""
+"""With it a silent reader is detected in 1.25 s. A change must be in force
+within 2 s at the strictest, and one call to the store still has to be made."""
 STALE_MS = 1_200.0
-"""A daemon that the store last answered so long ago is not followed."""
+"""A state that the store confirmed longer ago is stale; its daemon is not
+followed."""
 COALESCE_MS = 100.0
-"""Changes that come so soon after one another take one call."""
+"""Changes within this time of each other are read with one call."""
 RETRY_MS = 250.0
 NON_READER_RETRY_MS = 2_500.0
-"""Between the tries of a daemon that reads only for want of a reader."""
+"""Between retries of a daemon that reads only because no reader answers."""
 AVOIDANCE_MS = 3_000.0
+"""How long a silent or stale reader is not followed."""
 ROLE_CHECK_INTERVAL_MS = 500.0
 
 
 class StateExchange(Service):
-    """Reads the store where that is this daemon's part, or follows a reader.
+    """Reads the store if this daemon is a reader, otherwise follows a reader.
 
-    A follower waits at its reader for what is newer than its own state. Where
-    the reader is silent, or the store is silent to it, the follower reads the
-    store at once itself: what has changed meanwhile is due there as well.
+    A follower long-polls its reader for updates. If the reader does not answer,
+    or has had no answer from the store for `STALE_MS`, the follower reads the
+    store itself at once, because changes must reach it in time then too.
     """
 
     def __init__(
@@ -66,18 +68,18 @@
         self._network = network
         self._daemons = daemons
         self._states = {state.name: state for state in states}
-        self._changed = anyio.Event()
-        self._reading = anyio.Event()
+        self._change_event = anyio.Event()
+        self._reads_store = anyio.Event()
         self._source = ""
         self._readers = state_readers.RankedReaders(daemons=daemons)
-        self._avoided: dict[str, Instant] = {}
+        self._avoided_until: dict[str, Instant] = {}
         for state in states:
-            state.on_change(self._note_change)
+            state.on_change(self._notify_followers)
 
     @property
     def reads_store(self) -> bool:
-        """Whether this daemon reads the store."""
-        return self._reading.is_set()
+        """Whether this daemon reads the store at present."""
+        return self._reads_store.is_set()
 
     async def run(self) -> None:
         """Reads or follows until it is cancelled."""
@@ -85,10 +87,10 @@
             for state in self._states.values():
                 tasks.start_soon(self._read, state)
             while True:
-                await self._step()
+                await self._run_once()
 
     async def handle(self, request: Request) -> Response:
-        """Answers a follower once something is newer, or its wait is over."""
+        """Answers a follower at the next update, or when its wait expires."""
         known: dict[str, int] = {}
         for name in self._states:
             text = request.query.get(name, "0")
@@ -97,8 +99,8 @@
         wait_ms = min(LONG_POLL_MS, float(wait) if wait.isdigit() else 0.0)
         fresh_ms = STALE_MS - max(s.age_ms for s in self._states.values())
         with self._clock.timeout(min(wait_ms, fresh_ms)):
-            while not self._newer(known):
-                await self._changed.wait()
+            while not self._has_changes(known):
+                await self._change_event.wait()
         return json_response(
             {
                 "states": {
@@ -109,20 +111,20 @@
             }
         )
 
-    def _newer(self, known: dict[str, int]) -> bool:
+    def _has_changes(self, known: dict[str, int]) -> bool:
         return any(
             state.has_changes_since(known[name])
             for name, state in self._states.items()
         )
 
-    def _note_change(self) -> None:
-        changed, self._changed = self._changed, anyio.Event()
-        changed.set()
+    def _notify_followers(self) -> None:
+        previous, self._change_event = self._change_event, anyio.Event()
+        previous.set()
 
     async def _read(self, state: FollowedState) -> None:
         while True:
             if state.listed:
-                await self._reading.wait()
+                await self._reads_store.wait()
             read = await state.read(wait_ms=LONG_POLL_MS)
             if isinstance(read, Err):
                 await self._clock.sleep(self._retry_ms())
@@ -134,54 +136,56 @@
         retry_ms = RETRY_MS if is_reader else NON_READER_RETRY_MS
         return retry_ms * self._rng.uniform(0.5, 1.0)
 
-    async def _step(self) -> None:
-        source = self._choose()
+    async def _run_once(self) -> None:
+        source = self._choose_source()
         if source is None or not self._all_listed:
-            self._follow("the store")
+            self._set_source("the store")
             await self._clock.sleep(
                 ROLE_CHECK_INTERVAL_MS * self._rng.uniform(0.6, 1.0)
             )
-            if not (self._fresh and self._all_listed):
-                await self._ask_any()
-        elif await self._ask(source, wait_ms=LONG_POLL_MS) and self._fresh:
-            self._follow(source.name)
+            if not (self._is_fresh and self._all_listed):
+                await self._poll_any()
+        elif await self._poll(source, wait_ms=LONG_POLL_MS) and self._is_fresh:
+            self._set_source(source.name)
         else:
-            self._avoided[source.name] = self._clock.now() + AVOIDANCE_MS
-            self._reading.set()
+            self._avoided_until[source.name] = self._clock.now() + AVOIDANCE_MS
+            self._reads_store.set()
 
     @property
     def _all_listed(self) -> bool:
         return all(state.listed for state in self._states.values())
 
     @property
-    def _fresh(self) -> bool:
+    def _is_fresh(self) -> bool:
         return all(s.age_ms < STALE_MS for s in self._states.values())
 
-    def _choose(self) -> PeerDaemon | None:
+    def _choose_source(self) -> PeerDaemon | None:
         now = self._clock.now()
-        self._avoided = {n: at for n, at in self._avoided.items() if at > now}
+        self._avoided_until = {
+            n: at for n, at in self._avoided_until.items() if at > now
+        }
         own = next(d for d in self._daemons.all() if d.is_local)
         return state_readers.choose_source(
-            own, self._readers.current(), self._avoided
+            own, self._readers.current(), self._avoided_until
         )
 
-    def _follow(self, source: str) -> None:
+    def _set_source(self, source: str) -> None:
         if source == "the store":
-            self._reading.set()
+            self._reads_store.set()
         elif self.reads_store:
-            self._reading = anyio.Event()
+            self._reads_store = anyio.Event()
         if source != self._source:
             self._source = source
             events.log(events.Event.SERVING_STATE_SOURCE, source=source)
 
-    async def _ask_any(self) -> None:
+    async def _poll_any(self) -> None:
         others = [d for d in self._readers.current() if not d.is_local]
         others = others or [d for d in self._daemons.all() if not d.is_local]
         if others:
-            await self._ask(self._rng.choice(others), wait_ms=0.0)
+            await self._poll(self._rng.choice(others), wait_ms=0.0)
 
-    async def _ask(self, peer: PeerDaemon, *, wait_ms: float) -> bool:
-        """Takes what a daemon knows; returns whether it answered."""
+    async def _poll(self, peer: PeerDaemon, *, wait_ms: float) -> bool:
+        """Merges a daemon's state; returns whether it sent a valid answer."""
         request = Request(
             method="GET",
             path=STATE_PATH,
--- a/cactusdyke/serving/state_readers.py
+++ b/cactusdyke/serving/state_readers.py
@@ -1,8 +1,8 @@
-"""Which daemons read the platform's store, and from whom the others hear.
+"""Chooses the daemons that read the platform's store, and who follows which.
 
-Each change of the store ends every watch on it, and each watch is a call that
-is paid for: with a watch for each daemon the calls grow as daemons times
-changes. A few daemons read instead, and tell the rest.
+Each change of the store ends every watch on it, and each watch is a billed
+call. With a watch for each daemon, calls grow with the number of daemons times
+the number of changes, so a few daemons read and the others follow them.
 """
 
 from __future__ import annotations
@@ -20,58 +20,63 @@
 
 MIN_READERS = 2
 FOLLOWERS_PER_READER = 64
-"""Each asks about once a second, at half a millisecond of its reader's time."""
+"""On average. A follower polls about once a second, and a poll takes half a
+millisecond of its reader's processor time."""
 
 
 def choose_readers(daemons: Sequence[PeerDaemon]) -> list[PeerDaemon]:
     """Returns the daemons that read the store, in different data centres.
 
-    Daemons that see the same members agree without a message. Large hosts come
-    first, and ones that have just started last.
+    Daemons that see the same members choose the same readers without a message.
+    Ready daemons come first, then large hosts; within these, daemons that have
+    just started come last.
     """
     ranked = sorted(daemons, key=_rank)
     count = max(MIN_READERS, math.ceil(len(ranked) / FOLLOWERS_PER_READER))
-    taken: collections.Counter[str] = collections.Counter()
-    turns: dict[str, int] = {}
+    count_by_data_centre: collections.Counter[str] = collections.Counter()
+    places: dict[str, int] = {}
     for daemon in ranked:
-        turns[daemon.name] = taken[daemon.data_centre]
-        taken[daemon.data_centre] += 1
-    return sorted(ranked, key=lambda d: turns[d.name])[:count]
+        places[daemon.name] = count_by_data_centre[daemon.data_centre]
+        count_by_data_centre[daemon.data_centre] += 1
+    return sorted(ranked, key=lambda d: places[d.name])[:count]
 
 
 class RankedReaders:
-    """The daemons that read the store, ranked anew as members change."""
+    """The readers, chosen again only when the members change."""
 
     def __init__(self, *, daemons: PeerDaemons) -> None:
         self._daemons = daemons
-        self._ranked_of: tuple[PeerDaemon, ...] = ()
+        self._ranked_from: tuple[PeerDaemon, ...] = ()
         self._ranked: list[PeerDaemon] = []
 
     def current(self) -> list[PeerDaemon]:
-        """Returns them as members are seen now."""
+        """Returns the readers among the current members."""
         daemons = self._daemons.all()
-        if daemons is not self._ranked_of:
-            self._ranked_of = daemons
+        if daemons is not self._ranked_from:
+            self._ranked_from = daemons
             self._ranked = choose_readers(daemons)
         return self._ranked
 
 
 def choose_source(
-    own: PeerDaemon, chosen: Sequence[PeerDaemon], avoided: Container[str]
+    own: PeerDaemon, readers: Sequence[PeerDaemon], avoided: Container[str]
 ) -> PeerDaemon | None:
-    """Returns whom a daemon follows, None if it reads the store itself.
+    """Returns the reader that a daemon follows, None if it is a reader.
+
+    Also returns None if all readers are avoided. Readers of the daemon's own
+    data centre are preferred.
 
     Args:
-        own: The daemon.
-        chosen: Those that read.
-        avoided: Names of readers that were silent or stale lately.
+        own: The daemon that looks for a source.
+        readers: The readers, this daemon among them if it is one.
+        avoided: Names of readers that were silent or stale recently.
     """
-    if any(reader.name == own.name for reader in chosen):
+    if any(reader.name == own.name for reader in readers):
         return None
-    usable = [reader for reader in chosen if reader.name not in avoided]
-    near = [r for r in usable if r.data_centre == own.data_centre]
+    usable = [reader for reader in readers if reader.name not in avoided]
+    local = [r for r in usable if r.data_centre == own.data_centre]
     return min(
-        near or usable,
+        local or usable,
         key=lambda reader: _hash(f"{own.name}@{reader.name}"),
         default=None,
     )
