--- a/cactusdyke/serving/crash_suspects.py
+++ b/cactusdyke/serving/crash_suspects.py
@@ -1,7 +1,8 @@
-"""Which requests were under way as replicas crashed, and which crashed them.
+"""Evidence of the requests in progress at replica crashes, and their causes.
 
-A request is known by its digest: method, path, caller and body. Each crash
-leaves several suspects, for whatever else ran on the replica broke with it.
+A request is identified by its digest, a hash of method, path, caller and body.
+Each crash has several suspects, because all requests that run on the replica
+break with it.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
     from cactusdyke.clock import Clock
 
 MIN_QUARANTINE_CRASHES = 3
-"""Crashes with which a request is quarantined; one that is sound meets as many
-only if replicas crash again and again for other reasons."""
+"""Crashes after which a request is quarantined. A harmless request reaches this
+number only if replicas keep crashing for other reasons."""
 SUSPECT_MS = 300_000.0
 QUARANTINE_MS = 1_800_000.0
-"""From the last crash on; a new release of the replicas may be free of it."""
+"""From the last crash on; a newer release of the replicas may have fixed it."""
 EXPIRY_INTERVAL_MS = 1_000.0
 MAX_SUSPECTS = 1_024
 MAX_CRASHES = 16
-"""Kept of each request; what it has crashed beyond changes nothing."""
+"""Crashes recorded for each request; further ones would change nothing."""
 MAX_SERVED = 1_024
 MIN_SHARED_CRASHES = 2
-"""Crashes of a request that all daemons are told of."""
+"""Crashes from which on a request's evidence is sent to all daemons."""
 MAX_SHARED_REQUESTS = 32
-"""Requests that all daemons are told of."""
+"""Requests whose evidence is sent to all daemons at most."""
 
 
 @attrs.define(kw_only=True)
@@ -43,7 +44,7 @@
         return max(self.crashes.values())
 
     @property
-    def kept_ms(self) -> float:
+    def retention_ms(self) -> float:
         return (
             QUARANTINE_MS
             if len(self.crashes) >= MIN_QUARANTINE_CRASHES
@@ -54,34 +55,34 @@
 class CrashSuspects:
     """Evidence against requests, bounded in number and age.
 
-    Evidence of several daemons adds up in any order and however often it comes.
-    A request that was served is cleared, and older evidence against it no
-    longer counts.
+    Neither order nor repetition of merged evidence makes a difference. A
+    request that was served is cleared, and older evidence against it is
+    ignored.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._suspects: dict[str, _Suspect] = {}
-        self._under: dict[str, set[str]] = {}
+        self._digests_by_replica: dict[str, set[str]] = {}
         self._served: dict[str, Instant] = {}
         self._version = 0
-        self._told_version = 0
-        self._forgotten_at = clock.now()
+        self._shared_version = 0
+        self._last_expiry_at = clock.now()
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is known against any request."""
+        """Whether there is no evidence against any request."""
         return not self._suspects
 
     @property
     def version(self) -> int:
-        """Grows with each change of what is known."""
+        """Increases with each change of the evidence."""
         return self._version
 
     @property
     def shared_version(self) -> int:
-        """Grows with each change of what all daemons are told."""
-        return self._told_version
+        """Increases with each change of the evidence for all daemons."""
+        return self._shared_version
 
     def __contains__(self, digest: str) -> bool:
         return digest in self._suspects
@@ -89,26 +90,26 @@
     def record_crash(
         self, digest: str, replica: str, at: Instant | None = None
     ) -> None:
-        """Notes that a request was under way as a replica crashed."""
+        """Records that a request was in progress when a replica crashed."""
         at = self._clock.now() if at is None else at
         if at <= self._served.get(digest, at - 1):
             return
-        self._forget()
+        self._expire()
         suspect = self._suspects.setdefault(digest, _Suspect())
         if replica in suspect.crashes or len(suspect.crashes) >= MAX_CRASHES:
             return
         suspect.crashes[replica] = at
-        self._under.setdefault(replica, set()).add(digest)
+        self._digests_by_replica.setdefault(replica, set()).add(digest)
         self._version += 1
-        self._told_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
+        self._shared_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
         if len(self._suspects) > MAX_SUSPECTS:
             self._drop(min(self._suspects, key=self._weight))
 
     def record_served(self, digest: str, at: Instant | None = None) -> None:
-        """Notes that a replica has run a request to its end."""
+        """Records that a replica has completed a request."""
         at = self._clock.now() if at is None else at
-        known = self._served.get(digest)
-        if known is not None and known >= at:
+        served_at = self._served.get(digest)
+        if served_at is not None and served_at >= at:
             return
         self._served[digest] = at
         if len(self._served) > MAX_SERVED:
@@ -116,32 +117,32 @@
         suspect = self._suspects.get(digest)
         if suspect is not None and suspect.last_at <= at:
             self._drop(digest)
-            self._told_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
+            self._shared_version += len(suspect.crashes) >= MIN_SHARED_CRASHES
         self._version += 1
 
     def quarantine_left_ms(self, digest: str) -> float:
-        """Returns for how long a request is quarantined, 0 if it is not.
+        """Returns how long a request remains quarantined in ms, 0 if it is not.
 
-        A crash counts against the request that has most crashes of all that
-        were under way: the others are explained by it. Where two have as many,
-        it counts against neither until one of them is told apart.
+        A crash counts only against the one request with the most crashes among
+        those in progress at it, since that one explains it. If several have the
+        most, it counts against none until one of them has a further crash.
         """
-        self._forget()
+        self._expire()
         suspect = self._suspects.get(digest)
         if suspect is None:
             return 0.0
-        caused = sum(self._has_caused(digest, c) for c in suspect.crashes)
-        if caused < MIN_QUARANTINE_CRASHES:
+        caused_count = sum(self._has_caused(digest, c) for c in suspect.crashes)
+        if caused_count < MIN_QUARANTINE_CRASHES:
             return 0.0
         left_ms = suspect.last_at + QUARANTINE_MS - self._clock.now()
         return max(0.0, left_ms)
 
     def quarantined(self) -> set[str]:
-        """Returns the digests of all requests that are quarantined."""
+        """Returns the digests of all quarantined requests."""
         return {d for d in self._suspects if self.quarantine_left_ms(d) > 0}
 
     def crashed_replicas(self, digest: str) -> list[str]:
-        """Returns the replicas that crashed under a request."""
+        """Returns the replicas that crashed while they ran a request."""
         suspect = self._suspects.get(digest)
         return sorted(suspect.crashes) if suspect else []
 
@@ -154,17 +155,17 @@
             min_crashes: Requests with fewer crashes are left out.
             max_requests: Limit; requests with most crashes come first.
         """
-        self._forget()
+        self._expire()
         now = self._clock.now()
-        told = [
+        shared = [
             d
             for d, s in self._suspects.items()
             if len(s.crashes) >= min_crashes
         ]
-        told.sort(key=self._weight, reverse=True)
+        shared.sort(key=self._weight, reverse=True)
         crashes = [
             [digest, replica, round(now - at)]
-            for digest in told[:max_requests]
+            for digest in shared[:max_requests]
             for replica, at in self._suspects[digest].crashes.items()
         ]
         served = [[d, round(now - at)] for d, at in self._served.items()]
@@ -175,14 +176,14 @@
     def merge(
         self, value: Mapping[str, Any], *, elapsed_ms: float = 0.0
     ) -> None:
-        """Takes evidence as `to_wire` returned it.
+        """Merges evidence as `encode` returned it.
 
         Args:
             value: The evidence.
             elapsed_ms: How long ago it was returned.
 
         Raises:
-            KeyError, TypeError, ValueError: The value is of no known form.
+            KeyError, TypeError, ValueError: The value is malformed.
         """
         now = self._clock.now() - elapsed_ms
         for digest, age_ms in value["served"]:
@@ -195,7 +196,7 @@
         count = len(self._suspects[digest].crashes)
         return all(
             len(self._suspects[other].crashes) < count
-            for other in self._under[replica]
+            for other in self._digests_by_replica[replica]
             if other != digest
         )
 
@@ -203,13 +204,13 @@
         suspect = self._suspects[digest]
         return (len(suspect.crashes), suspect.last_at)
 
-    def _forget(self) -> None:
+    def _expire(self) -> None:
         now = self._clock.now()
-        if now - self._forgotten_at < EXPIRY_INTERVAL_MS:
+        if now - self._last_expiry_at < EXPIRY_INTERVAL_MS:
             return
-        self._forgotten_at = now
+        self._last_expiry_at = now
         for digest, suspect in list(self._suspects.items()):
-            if now - suspect.last_at > suspect.kept_ms:
+            if now - suspect.last_at > suspect.retention_ms:
                 self._drop(digest)
         for digest, at in list(self._served.items()):
             if now - at > SUSPECT_MS:
@@ -217,7 +218,7 @@
 
     def _drop(self, digest: str) -> None:
         for replica in self._suspects.pop(digest).crashes:
-            under = self._under[replica]
-            under.discard(digest)
-            if not under:
-                del self._under[replica]
+            digests = self._digests_by_replica[replica]
+            digests.discard(digest)
+            if not digests:
+                del self._digests_by_replica[replica]
--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -1,10 +1,10 @@
-"""Keeps requests that crash replicas from them, at all daemons.
+"""Refuses requests that crash replicas, at all daemons.
 
-Each daemon sees only the crashes under its own requests. It reports them to
-the daemons that read the store; these add reports up and tell all others of
-requests that were under way at more than one crash. Whoever misses a message
-hears the same with its next probe, and a daemon that starts reads it from the
-store.
+Each daemon sees only the crashes that its own requests run into. It reports
+them to the collectors, which are the daemons that read the store. These merge
+the reports, and send all daemons the requests that were in progress at more
+than one crash. A daemon that misses a message gets the same evidence with its
+next probe, and a daemon that starts reads it from the store.
 """
 
 from __future__ import annotations
@@ -55,28 +55,28 @@
 CRASHES_PATH = "/internal/v1/crashes"
 OK_STATUS = 200
 COALESCE_MS = 20.0
-"""Connections to a replica that crashes break within a few milliseconds."""
+"""All connections to a crashing replica break within a few milliseconds."""
 RECHECK_DELAY_MS = 250.0
-"""A process that ends may break its connections before it stops listening."""
+"""A process that ends may close its connections before it stops listening."""
 CALL_TIMEOUT_MS = 500.0
 RETRY_MS = 500.0
 SAVE_RETRY_MS = 2_000.0
 LOAD_TIMEOUT_MS = 1_000.0
-"""How long a daemon that starts waits for what was saved before it serves."""
+"""How long a starting daemon waits for saved evidence before it serves."""
 MAX_CONCURRENT_CALLS = 16
-"""Calls at once to other daemons; a host has a core at most to spend."""
+"""To other daemons; a host can spend one core at most on them."""
 
 
 class QuarantineStore(abc.ABC):
-    """Where what has to outlive all daemons is kept."""
+    """Stores the evidence that has to survive the loss of all daemons."""
 
     @abc.abstractmethod
     async def save_quarantine(self) -> Result[None, Failure]:
-        """Saves what the daemon knows now in place of what it knew before."""
+        """Saves this daemon's evidence, replacing what it saved before."""
 
 
 class Quarantine(Service):
-    """Finds out which requests crash replicas, and refuses them."""
+    """Detects which requests crash replicas, and refuses them."""
 
     def __init__(
         self,
@@ -94,58 +94,58 @@
         self._daemons = daemons
         self._store = store
         self._metrics = metrics
-        self._own = CrashSuspects(clock=clock)
-        self._known = CrashSuspects(clock=clock)
+        self._local_suspects = CrashSuspects(clock=clock)
+        self._suspects = CrashSuspects(clock=clock)
         self._collectors = RankedReaders(daemons=daemons)
         self._quarantined: set[str] = set()
-        self._broken: dict[str, set[str]] = {}
-        self._reported: dict[str, int] = {}
-        self._seen = anyio.Event()
-        self._told = anyio.Event()
+        self._broken_digests: dict[str, set[str]] = {}
+        self._reported_versions: dict[str, int] = {}
+        self._local_change = anyio.Event()
+        self._shared_change = anyio.Event()
         self._tasks: TaskGroup | None = None
-        self._informed = False
-        self._on_informed: Callable[[], None] = lambda: None
+        self._loaded = False
+        self._loaded_hook: Callable[[], None] = lambda: None
 
     @property
     def loaded(self) -> bool:
-        """Whether what others know is known here, or waited for in vain."""
-        return self._informed
+        """Whether saved evidence is loaded, or the wait for it has ended."""
+        return self._loaded
 
     def on_loaded(self, hook: Callable[[], None]) -> None:
-        """Calls `hook` once that is so."""
-        self._on_informed = hook
+        """Sets the hook that is called once evidence has been loaded."""
+        self._loaded_hook = hook
 
     def mark_loaded(self) -> None:
-        """Notes that all that was saved has been taken, or can't be had."""
-        if not self._informed:
-            self._informed = True
-            self._on_informed()
+        """Records that saved evidence has been merged, or is not available."""
+        if not self._loaded:
+            self._loaded = True
+            self._loaded_hook()
 
     @property
     def suspects(self) -> CrashSuspects:
-        """What this daemon has seen and heard."""
-        return self._known
+        """All evidence of this daemon, its own and what it has received."""
+        return self._suspects
 
     @property
     def attachment(self) -> Rider:
-        """Has what all daemons are told travel with membership's messages."""
-        return _EvidenceRider(quarantine=self, known=self._known)
+        """Attaches the evidence for all daemons to gossip messages."""
+        return _EvidenceAttachment(quarantine=self, suspects=self._suspects)
 
     @property
     def evidence(self) -> dict[str, Any] | None:
-        """What all daemons are told, None for nothing."""
-        return self._known.encode(
+        """The evidence that all daemons get, None if there is none."""
+        return self._suspects.encode(
             min_crashes=MIN_SHARED_CRASHES, max_requests=MAX_SHARED_REQUESTS
         )
 
     def refusal(self, context: ServingContext) -> Failure | None:
-        """Returns why a request is sent to no replica, None if it may be."""
-        if self._known.empty:
+        """Returns a failure if a request is quarantined, otherwise None."""
+        if self._suspects.empty:
             return None
-        left_ms = self._known.quarantine_left_ms(context.digest)
+        left_ms = self._suspects.quarantine_left_ms(context.digest)
         if not left_ms:
             return None
-        count = len(self._known.crashed_replicas(context.digest))
+        count = len(self._suspects.crashed_replicas(context.digest))
         return Failure(
             kind=FailureKind.QUARANTINED,
             detail=f"{count} replicas crashed as they ran this request",
@@ -155,49 +155,53 @@
     def on_attempt_broken(
         self, context: ServingContext, replica: Replica
     ) -> None:
-        """Finds out whether the replica of a broken attempt has crashed."""
-        broken = self._broken.get(replica.name)
+        """Starts to check if the replica of a broken attempt has crashed."""
+        broken = self._broken_digests.get(replica.name)
         if broken is not None:
             broken.add(context.digest)
         elif self._tasks is not None:
-            self._broken[replica.name] = {context.digest}
-            self._tasks.start_soon(self._look_at, replica)
+            self._broken_digests[replica.name] = {context.digest}
+            self._tasks.start_soon(self._check_replica, replica)
 
     def on_served(self, context: ServingContext) -> None:
-        """Clears a request that a replica has run to its end."""
-        if self._known.empty or context.digest not in self._known:
+        """Clears a request that a replica has completed."""
+        if self._suspects.empty or context.digest not in self._suspects:
             return
-        before = self._known.shared_version
-        self._own.record_served(context.digest)
-        self._known.record_served(context.digest)
-        self._note_own()
-        if self._known.shared_version != before:
-            self._note_told()
+        before = self._suspects.shared_version
+        self._local_suspects.record_served(context.digest)
+        self._suspects.record_served(context.digest)
+        self._notify_local_change()
+        if self._suspects.shared_version != before:
+            self._on_shared_change()
 
     def merge(
         self, evidence: Mapping[str, Any], elapsed_ms: float = 0.0
     ) -> None:
-        """Takes what another daemon knows, or knew.
+        """Merges another daemon's evidence.
+
+        Args:
+            evidence: The evidence as that daemon encoded it.
+            elapsed_ms: Time since it was encoded.
 
         Raises:
-            KeyError, TypeError, ValueError: The value is of no known form.
+            KeyError, TypeError, ValueError: The evidence is malformed.
         """
-        before = self._known.shared_version
-        self._known.merge(evidence, elapsed_ms=elapsed_ms)
-        if self._known.shared_version != before:
-            self._note_told()
+        before = self._suspects.shared_version
+        self._suspects.merge(evidence, elapsed_ms=elapsed_ms)
+        if self._suspects.shared_version != before:
+            self._on_shared_change()
 
     async def run(self) -> None:
-        """Looks, reports and tells until it is cancelled."""
+        """Checks replicas and exchanges evidence until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(self._report)
+            tasks.start_soon(self._report_to_collectors)
             tasks.start_soon(self._save)
-            tasks.start_soon(self._wait_for_saved)
-            await self._tell_others()
+            tasks.start_soon(self._mark_loaded_after_timeout)
+            await self._broadcast()
 
     async def handle(self, request: Request) -> Response:
-        """Takes another daemon's report."""
+        """Merges another daemon's evidence."""
         body = request.body if isinstance(request.body, bytes) else b""
         value = parse_object(body)
         if isinstance(value, Err):
@@ -208,30 +212,30 @@
             return failure_response(
                 Failure(
                     kind=FailureKind.BAD_REQUEST,
-                    detail=f"the report can't be read: {error!r}",
+                    detail=f"malformed evidence of crashes: {error!r}",
                 )
             )
         return json_response({})
 
-    async def _wait_for_saved(self) -> None:
+    async def _mark_loaded_after_timeout(self) -> None:
         await self._clock.sleep(LOAD_TIMEOUT_MS)
         self.mark_loaded()
 
-    async def _look_at(self, replica: Replica) -> None:
-        """Takes a replica for crashed if its host refuses connections.
+    async def _check_replica(self, replica: Replica) -> None:
+        """Treats a replica as crashed if it refuses connections.
 
-        A connection alone also ends by a reset on its way, or because the
-        replica has too many.
+        A broken connection alone proves nothing: it may have been reset on the
+        network, or closed by a replica that has too many connections.
         """
         try:
             await self._clock.sleep(COALESCE_MS)
-            down = await self._is_down(replica)
-            if not down:
+            is_down = await self._is_down(replica)
+            if not is_down:
                 await self._clock.sleep(RECHECK_DELAY_MS)
-                down = await self._is_down(replica)
+                is_down = await self._is_down(replica)
         finally:
-            digests = self._broken.pop(replica.name)
-        if not down:
+            digests = self._broken_digests.pop(replica.name)
+        if not is_down:
             return
         events.log(
             events.Event.REPLICA_CRASHED,
@@ -241,13 +245,13 @@
         )
         self._metrics.replica_crashed(replica.service)
         name = f"{replica.name}/{replica.born}"
-        before = self._known.shared_version
+        before = self._suspects.shared_version
         for digest in digests:
-            self._own.record_crash(digest, name)
-            self._known.record_crash(digest, name)
-        self._note_own()
-        if self._known.shared_version != before:
-            self._note_told()
+            self._local_suspects.record_crash(digest, name)
+            self._suspects.record_crash(digest, name)
+        self._notify_local_change()
+        if self._suspects.shared_version != before:
+            self._on_shared_change()
 
     async def _is_down(self, replica: Replica) -> bool:
         try:
@@ -256,69 +260,70 @@
         except ExchangeError as error:
             return error.refused
 
-    def _note_own(self) -> None:
-        seen, self._seen = self._seen, anyio.Event()
-        seen.set()
+    def _notify_local_change(self) -> None:
+        local_change, self._local_change = self._local_change, anyio.Event()
+        local_change.set()
 
-    def _note_told(self) -> None:
-        now = self._known.quarantined()
-        for digest in now - self._quarantined:
+    def _on_shared_change(self) -> None:
+        quarantined = self._suspects.quarantined()
+        for digest in quarantined - self._quarantined:
             events.log(
                 events.Event.REQUEST_QUARANTINED,
                 digest=digest,
-                replicas=self._known.crashed_replicas(digest),
+                replicas=self._suspects.crashed_replicas(digest),
             )
-        self._quarantined = now
-        self._metrics.quarantined(len(now))
-        told, self._told = self._told, anyio.Event()
-        told.set()
+        self._quarantined = quarantined
+        self._metrics.quarantined(len(quarantined))
+        shared_change, self._shared_change = self._shared_change, anyio.Event()
+        shared_change.set()
 
-    async def _report(self) -> None:
-        """Has every collector know what was seen here."""
+    async def _report_to_collectors(self) -> None:
+        """Sends every collector the crashes that this daemon has seen."""
         while True:
-            seen = self._seen
-            evidence = self._own.encode()
+            local_change = self._local_change
+            evidence = self._local_suspects.encode()
             if evidence is None:
-                self._reported.clear()
-                await seen.wait()
+                self._reported_versions.clear()
+                await local_change.wait()
                 continue
-            version = self._own.version
-            late = [
+            version = self._local_suspects.version
+            outdated = [
                 collector
                 for collector in self._collectors.current()
                 if not collector.is_local
-                and self._reported.get(collector.name) != version
+                and self._reported_versions.get(collector.name) != version
             ]
-            for name in await self._post(late, evidence):
-                self._reported[name] = version
-            # Whoever becomes a collector later knows nothing of it yet.
+            for name in await self._post(outdated, evidence):
+                self._reported_versions[name] = version
+            # A daemon that becomes a collector later has to be sent it, too.
             with self._clock.timeout(RETRY_MS):
-                await seen.wait()
+                await local_change.wait()
 
-    async def _tell_others(self) -> None:
-        """Tells all daemons what reports add up to, if this one collects."""
-        told_version = 0
+    async def _broadcast(self) -> None:
+        """Sends merged evidence to all daemons if this one is a collector."""
+        sent_version = 0
         while True:
-            told = self._told
-            if self._known.shared_version == told_version:
-                await told.wait()
+            shared_change = self._shared_change
+            if self._suspects.shared_version == sent_version:
+                await shared_change.wait()
                 await self._clock.sleep(COALESCE_MS)
-            told_version = self._known.shared_version
+            sent_version = self._suspects.shared_version
             evidence = self.evidence
-            if evidence is not None and self._collects:
+            if evidence is not None and self._is_collector:
                 others = [d for d in self._daemons.all() if not d.is_local]
                 await self._post(others, evidence)
 
     async def _save(self) -> None:
-        """Keeps in the store what all daemons are told, if this one collects.
+        """Saves the evidence for all daemons if this one is a collector.
 
-        Whoever becomes a collector saves as well: those before may be gone.
+        A daemon that becomes a collector saves too, as previous collectors may
+        be gone.
         """
         saved = 0
         while True:
-            told = self._told
-            version = self._known.shared_version
-            if version != saved and self._collects:
+            shared_change = self._shared_change
+            version = self._suspects.shared_version
+            if version != saved and self._is_collector:
                 answer = await self._store.save_quarantine()
                 if isinstance(answer, Err):
                     events.log(
@@ -327,21 +332,21 @@
                     )
                 else:
                     saved = version
-            if self._known.empty:
-                await told.wait()
+            if self._suspects.empty:
+                await shared_change.wait()
             else:
                 with self._clock.timeout(SAVE_RETRY_MS):
-                    await told.wait()
+                    await shared_change.wait()
             await self._clock.sleep(COALESCE_MS)
 
     @property
-    def _collects(self) -> bool:
+    def _is_collector(self) -> bool:
         return any(daemon.is_local for daemon in self._collectors.current())
 
     async def _post(
         self, daemons: list[PeerDaemon], evidence: Mapping[str, Any]
     ) -> list[str]:
-        """Sends evidence to daemons; returns the names of who took it."""
+        """Sends evidence to daemons; returns which accepted it."""
         request = Request(
             method="POST",
             path=CRASHES_PATH,
@@ -353,7 +358,7 @@
             progress_timeout_ms=CALL_TIMEOUT_MS,
         )
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_CALLS)
-        took: list[str] = []
+        accepted: list[str] = []
 
         async def post(daemon: PeerDaemon) -> None:
             async with limiter:
@@ -361,37 +366,40 @@
                     daemon.address, request, options
                 )
             if isinstance(answer, Ok) and answer.ok_value.status == OK_STATUS:
-                took.append(daemon.name)
+                accepted.append(daemon.name)
 
         async with anyio.create_task_group() as tasks:
             for daemon in daemons:
                 tasks.start_soon(post, daemon)
-        return took
+        return accepted
 
 
-class _EvidenceRider(Rider):
-    """Tells each daemon once what there is to know, and again as it changes.
+class _EvidenceAttachment(Rider):
+    """Sends each daemon the evidence once, and again after each change.
 
-    It reaches those that were started, frozen or cut off as others were told.
+    This reaches daemons that started later, or were frozen or unreachable when
+    the collectors sent it.
     """
 
-    def __init__(self, *, quarantine: Quarantine, known: CrashSuspects) -> None:
+    def __init__(
+        self, *, quarantine: Quarantine, suspects: CrashSuspects
+    ) -> None:
         self._quarantine = quarantine
-        self._known = known
+        self._suspects = suspects
         self._sent: dict[str, tuple[int, int]] = {}
 
     def write(self, receiver: Member | None) -> Any:
-        """Returns the evidence, None if there is none or it was sent."""
-        version = self._known.shared_version
+        """Returns the evidence, None if there is none or it has been sent."""
+        version = self._suspects.shared_version
         if receiver is None or not version:
             return None
-        told = (receiver.incarnation, version)
-        if self._sent.get(receiver.name) == told:
+        current = (receiver.incarnation, version)
+        if self._sent.get(receiver.name) == current:
             return None
-        self._sent[receiver.name] = told
+        self._sent[receiver.name] = current
         return self._quarantine.evidence
 
     def read(self, sender: Member, value: Any) -> None:
-        """Takes another daemon's evidence."""
+        """Merges the evidence of the sender."""
         del sender
         self._quarantine.merge(value)
--- a/cactusdyke/serving/state_readers.py
+++ b/cactusdyke/serving/state_readers.py
@@ -59,7 +59,7 @@
 
 
 def choose_source(
-    own: PeerDaemon, readers: Sequence[PeerDaemon], avoided: Container[str]
+    follower: PeerDaemon, readers: Sequence[PeerDaemon], avoided: Container[str]
 ) -> PeerDaemon | None:
     """Returns the reader that a daemon follows, None if it is a reader.
 
@@ -67,17 +67,17 @@
     data centre are preferred.
 
     Args:
-        own: The daemon that looks for a source.
+        follower: The daemon that looks for a source.
         readers: The readers, this daemon among them if it is one.
         avoided: Names of readers that were silent or stale recently.
     """
-    if any(reader.name == own.name for reader in readers):
+    if any(reader.name == follower.name for reader in readers):
         return None
     usable = [reader for reader in readers if reader.name not in avoided]
-    local = [r for r in usable if r.data_centre == own.data_centre]
+    local = [r for r in usable if r.data_centre == follower.data_centre]
     return min(
         local or usable,
-        key=lambda reader: _hash(f"{own.name}@{reader.name}"),
+        key=lambda reader: _hash(f"{follower.name}@{reader.name}"),
         default=None,
     )
 
