--- a/features/quarantine/fleet.feature
+++ b/features/quarantine/fleet.feature
@@ -1,9 +1,9 @@
-Feature: all daemons hear of a request that crashes replicas
+Feature: all daemons refuse a request that crashes replicas
 
-  Scenario Outline: of <count> daemons all know within 300 ms
-    # Guards against daemons that have to see a request's crashes themselves.
+  Scenario Outline: all of <count> daemons refuse a request within 300 ms
+    # Guards against daemons that learn of a request only by its crashes.
     Given <count> daemons that watch for crashes
-    When three of them see a replica crash under one request
+    When three of them see a replica crash while running one request
     Then all daemons refuse it within 300 ms
 
     Examples: sizes
@@ -15,21 +15,21 @@
       | 348   |
 
   Scenario Outline: a collector of reports that <fault>
-    # Guards against evidence that is lost with one host.
+    # Guards against evidence that is lost with one collector.
     Given 61 daemons that watch for crashes
     When a collector <fault> and three daemons see a replica crash
     Then all other daemons refuse it within 1500 ms
 
     Examples: faults
-      | fault             |
-      | is frozen         |
-      | has died          |
-      | hears of nobody   |
+      | fault                |
+      | is frozen            |
+      | has died             |
+      | receives no messages |
 
   Scenario Outline: both collectors die after the <number> crash
-    # Guards against evidence that only its collectors have.
+    # Guards against evidence that only the collectors have.
     Given 61 daemons that watch for crashes
-    When both collectors die after the <number> crash under one request
+    When both collectors die after the <number> crash caused by a request
     Then all other daemons refuse it within 1500 ms
 
     Examples: crashes
@@ -37,35 +37,35 @@
       | first  |
       | second |
 
-  Scenario: a daemon that was cut off hears with its next probe
-    # Guards against a message that is sent once.
+  Scenario: a daemon that was unreachable gets the evidence with its next probe
+    # Guards against evidence that is sent only once and can be lost.
     Given 61 daemons that watch for crashes
-    When one is cut off as three daemons see a replica crash
+    When one is unreachable while three daemons see a replica crash
     Then it refuses the request once it has probed another daemon
 
   Scenario: nothing is sent while nothing crashes
-    # Guards against a cost that every day pays for a rare fault.
+    # Guards against a permanent cost for a rare fault.
     Given 61 daemons that watch for crashes
     When a minute passes with requests and connections that are reset
-    Then no daemon has sent another one anything about it
+    Then no daemon has sent any evidence to another one
 
-  Scenario: one crash under many requests is told to the collectors only
-    # Guards against messages to all for requests that broke beside the cause.
+  Scenario: one crash with many requests is reported to the collectors only
+    # Guards against messages to all daemons about requests that are no cause.
     Given 195 daemons that watch for crashes
-    When a replica crashes under 40 requests of 20 daemons
-    Then there are as many messages as daemons that saw it, to each collector
+    When a replica crashes while running 40 requests of 20 daemons
+    Then each collector gets one message from each daemon that saw it
 
-  Scenario: replicas that crash under hundreds of requests of one daemon
-    # Guards against reports that leave the cause out for want of room.
+  Scenario: replicas that crash while running hundreds of requests of one daemon
+    # Guards against reports that omit the cause because of their size limit.
     Given 6 daemons that watch for crashes
-    When three replicas crash, each under 300 requests of a daemon
-    Then all daemons refuse the one that was at each crash
+    When three replicas crash, each while running 300 requests of a daemon
+    Then all daemons refuse the request that was in progress at each crash
 
   Scenario Outline: a request that <where> serves after two crashes is cleared
-    # Guards against blame that outlives the proof against it.
+    # Guards against evidence that survives proof to the contrary.
     Given 61 daemons that watch for crashes
     When a request is served at <where> that saw none of its two crashes
-    Then a third crash under it has no daemon refuse it
+    Then no daemon refuses it after a third crash
 
     Examples: places
       | where              |
--- a/features/serving/member_view.feature
+++ b/features/serving/member_view.feature
@@ -1,11 +1,11 @@
 Feature: the daemons of a deployment as one of them sees them
 
   Scenario Outline: one of <count> members <change>
-    # Guards against work for all members at each request, and against a view
-    # that does not follow what a member says.
+    # Guards against rebuilding all members at each request, and against a view
+    # that misses what a member announces.
     Given a daemon that knows <count> members
     When one member <change>
-    Then it alone is described anew, as it is now
+    Then only its description is rebuilt, with the new values
 
     Examples:
       | count | change                 |
--- a/features/steps/member_view_steps.py
+++ b/features/steps/member_view_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the daemons of a deployment as one of them sees them."""
+"""Steps for the daemons of a deployment as one of them sees them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _Members:
-    """Membership that changes by hand."""
+    """Membership that the test changes directly."""
 
     def __init__(self, count):
         self.members = {
@@ -47,10 +47,10 @@
         return tuple(self.members.values())
 
     def attach(self, key, provider, reader):
-        self.hear = reader
+        self.announce = reader
 
 
-def _said(number, **values):
+def _announcement(number, **values):
     return {"a": f"d{number}:80", "r": 1, "s": 1, "w": 0, "d": [], **values}
 
 
@@ -68,7 +68,7 @@
         min_count=lambda: 1,
     )
     for number in range(1, count):
-        context.members.hear(f"d{number}", _said(number))
+        context.members.announce(f"d{number}", _announcement(number))
     context.before = {d.name: d for d in context.view.all()}
     assert len(context.before) == count
 
@@ -76,12 +76,12 @@
 @when("one member {change}")
 def one_changes(context, change):
     if change == "becomes busy":
-        context.members.hear("d7", _said(7, b=1))
+        context.members.announce("d7", _announcement(7, b=1))
     else:
         context.members.members["d7"] = attrs.evolve(
             context.members.members["d7"], address="d7:2", incarnation=2
         )
-    # News of a revision is none for who serves.
+    # A new configuration revision does not change the description.
     context.members.members["d9"] = attrs.evolve(
         context.members.members["d9"], revision=5
     )
@@ -90,7 +90,7 @@
     context.after = {d.name: d for d in context.view.all()}
 
 
-@then("it alone is described anew, as it is now")
+@then("only its description is rebuilt, with the new values")
 def check_described(context):
     others = set(context.after) - {"d0", "d7"}
     assert all(context.after[n] is context.before[n] for n in others)
--- a/features/steps/quarantine_emulated_steps.py
+++ b/features/steps/quarantine_emulated_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash replicas, played by the emulator."""
+"""Steps for requests that crash replicas, played by the emulator."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 SCENARIO = pathlib.Path("emulator/scenarios/crashing-request.jsonc")
 SEEDS = (1, 2, 3)
-MOST_SENT_ON = 3
+MAX_SENT_ON = 3
 
 
-def _more(first, kind, trouble):
-    """Returns the faults beside the request that crashes replicas."""
+def _further_faults(first, kind, trouble):
+    """Returns the further faults that `trouble` names."""
     others = [name for name in ("query", "draft", "look") if name != kind]
     match trouble:
         case "a third of the daemons that are killed":
@@ -53,7 +53,7 @@
             for name, spec in scenario.engine_services.items()
         }
         scenario = attrs.evolve(scenario, engine_services=engines)
-    faults = (first, *_more(first, kind, trouble))
+    faults = (first, *_further_faults(first, kind, trouble))
     context.emulated = attrs.evolve(scenario, faults=faults)
 
 
@@ -74,7 +74,7 @@
 )
 def check_sent_on(context):
     sent_on = [play.sent_on for play in context.plays]
-    assert max(sent_on) <= MOST_SENT_ON, sent_on
+    assert max(sent_on) <= MAX_SENT_ON, sent_on
 
 
 @then("no play refuses a sound request for it")
--- a/features/steps/quarantine_evidence_steps.py
+++ b/features/steps/quarantine_evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the evidence against requests that crash replicas."""
+"""Steps for the evidence against requests that crash replicas."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from cactusdyke.serving.measures import ServingMetrics
 from cactusdyke.serving.quarantine import Quarantine
 from cactusdyke.transport.messages import Request
-from features.support.quarantine_fleet import Replicas, Saved, request
+from features.support.quarantine_fleet import AcceptingStore, Replicas, request
 from features.support.state_fleet import FixedDaemons, peer
 from standins.hub import Hub
 from standins.virtual import run_virtual
@@ -40,8 +40,8 @@
 EXAMPLES = 300
 
 
-class Hand:
-    """A clock that is set by hand."""
+class ManualClock:
+    """A clock that the test sets."""
 
     def __init__(self):
         self.at = 0.0
@@ -51,11 +51,11 @@
 
 
 def _suspects():
-    clock = Hand()
+    clock = ManualClock()
     return clock, CrashSuspects(clock=clock)
 
 
-@when("three replicas crash under one request and others beside it")
+@when("three replicas crash while running one request and others beside it")
 def three_crashes(context):
     context.clock, known = _suspects()
     for number in range(3):
@@ -76,7 +76,7 @@
     assert context.known.empty
 
 
-@when("three replicas crash under the same two requests")
+@when("three replicas crash while running the same two requests")
 def same_crashes(context):
     _, context.known = _suspects()
     for number in range(3):
@@ -84,14 +84,14 @@
             context.known.record_crash(digest, f"r{number}")
 
 
-@then("neither is quarantined until a replica crashes under one of them alone")
+@then("neither is quarantined until a replica crashes while running only one")
 def check_apart(context):
     assert context.known.quarantined() == set()
     context.known.record_crash("bad", "r9")
     assert context.known.quarantined() == {"bad"}
 
 
-@when("replicas crash under one request that is served in between")
+@when("replicas crash while running one request that is served in between")
 def served_between(context):
     context.clock, context.known = _suspects()
     for number in range(9):
@@ -102,7 +102,7 @@
             context.known.record_served("sound")
 
 
-@then("it is not quarantined, whatever older evidence comes late")
+@then("it is not quarantined, even if older evidence arrives late")
 def check_cleared(context):
     for number in range(9):
         context.known.record_crash("sound", f"r{number}", 500.0 + number)
@@ -111,7 +111,7 @@
 
 
 @when("evidence {bound}")
-def much_evidence(context, bound):
+def bounded_evidence(context, bound):
     context.clock, context.known = _suspects()
     known, clock = context.known, context.clock
     for number in range(3):
@@ -136,17 +136,17 @@
             assert known.quarantined() == {"bad"}
             clock.at += QUARANTINE_MS
             assert known.encode(min_crashes=1) is None
-    context.held = tracemalloc.get_traced_memory()[0]
+    context.traced_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
 
-@then("what is known stays bounded")
+@then("the evidence stays bounded")
 def check_bounded(context):
     known = context.known
     assert len(known._suspects) <= MAX_SUSPECTS
     assert len(known._served) <= MAX_SERVED
     assert len(known.crashed_replicas("bad")) <= MAX_CRASHES
-    assert context.held < 2_000_000, context.held
+    assert context.traced_bytes < 2_000_000, context.traced_bytes
     if not known.empty:
         assert known.quarantined() == {"bad"}
         told = known.encode(
@@ -155,7 +155,7 @@
         assert len(json.dumps(told)) < 16_000
 
 
-@when("daemons hear of crashes in any order, some of it twice")
+@when("daemons receive evidence of crashes in any order, some of it twice")
 def any_order(context):
     pairs = st.tuples(st.integers(0, 5), st.integers(0, 7), st.booleans())
 
@@ -178,83 +178,92 @@
     context.check = check
 
 
-@then("they judge every request alike")
+@then("they quarantine the same requests")
 def check_alike(context):
     context.check()
 
 
-class CountsCrashes(CrashSuspects):
-    """Blames whatever was there at three crashes."""
+class CrashCountRule(CrashSuspects):
+    """Quarantines every request that was in progress at three crashes."""
 
     def _has_caused(self, digest, replica):
         return True
 
 
-class SharesBlame(CrashSuspects):
-    """Blames all that share most crashes."""
+class SharedCrashRule(CrashSuspects):
+    """Counts a crash against all requests that share the most crashes."""
 
     def _has_caused(self, digest, replica):
         count = len(self._suspects[digest].crashes)
         return all(
             len(self._suspects[other].crashes) <= count
-            for other in self._under[replica]
+            for other in self._digests_by_replica[replica]
         )
 
 
-def _storm(rng, kind):
-    """Plays crashes under a bad request beside sound ones that come back.
+def _play_crashes(rng, kind):
+    """Plays crashes by a bad request beside harmless ones that are retried.
 
-    Returns the sound requests that were quarantined at any time, and how many
-    crashes the bad one was alone at most at as it was quarantined.
+    Returns the harmless requests that were quarantined at any time, and at how
+    many crashes the bad one was not accompanied by a retried one.
     """
-    known = kind(clock=Hand())
-    blamed = set()
-    waiting = []
-    alone = 0
+    known = kind(clock=ManualClock())
+    quarantined_harmless = set()
+    retrying = []
+    unaccompanied = 0
     for number in range(12):
         if known.quarantine_left_ms("bad"):
             break
         beside = [f"new-{number}-{n}" for n in range(rng.randrange(3))]
-        back = [s for s in waiting if rng.random() < 0.7]
-        alone += not back
+        back = [s for s in retrying if rng.random() < 0.7]
+        unaccompanied += not back
         for digest in rng.sample(
             ["bad", *beside, *back], 1 + len(beside + back)
         ):
             known.record_crash(digest, f"r{number}")
-        blamed |= known.quarantined() - {"bad"}
-        for sound in set(waiting) - set(back):
+        quarantined_harmless |= known.quarantined() - {"bad"}
+        for sound in set(retrying) - set(back):
             known.record_served(sound)
-        waiting = back + beside
-    return blamed, alone
+        retrying = back + beside
+    return quarantined_harmless, unaccompanied
 
 
-@when("any mix of requests is under way as replicas crash")
+@when("random mixes of requests are in progress when replicas crash")
 def mixes(context):
-    context.storms = {}
-    for kind in (CrashSuspects, CountsCrashes, SharesBlame):
-        context.storms[kind] = [
-            _storm(random.Random(seed), kind) for seed in range(2_000)
+    context.plays = {}
+    for kind in (CrashSuspects, CrashCountRule, SharedCrashRule):
+        context.plays[kind] = [
+            _play_crashes(random.Random(seed), kind) for seed in range(2_000)
         ]
 
 
-@then("only what crashed them is quarantined, at its third crash alone")
+@then("only the cause is quarantined, at its third crash without other retries")
 def check_mixes(context):
-    for blamed, alone in context.storms[CrashSuspects]:
-        assert not blamed, blamed
-        assert alone <= MIN_QUARANTINE_CRASHES
+    for quarantined_harmless, unaccompanied in context.plays[CrashSuspects]:
+        assert not quarantined_harmless, quarantined_harmless
+        assert unaccompanied <= MIN_QUARANTINE_CRASHES
 
 
-@then("a rule that counts crashes only is caught")
+@then("a rule that only counts crashes fails this check")
 def check_naive(context):
-    assert any(blamed for blamed, _ in context.storms[CountsCrashes])
+    assert any(
+        quarantined_harmless
+        for quarantined_harmless, _ in context.plays[CrashCountRule]
+    )
 
 
-@then("a rule that counts shared crashes for all that share most is caught")
+@then("a rule that counts a crash for all tied requests fails this check")
 def check_shares(context):
-    assert any(blamed for blamed, _ in context.storms[SharesBlame])
+    assert any(
+        quarantined_harmless
+        for quarantined_harmless, _ in context.plays[SharedCrashRule]
+    )
 
 
-GOOD = {"crashes": [["bad", f"r{n}", 5] for n in range(3)], "served": []}
+THREE_CRASHES = {
+    "crashes": [["bad", f"r{n}", 5] for n in range(3)],
+    "served": [],
+}
 
 
 def _quarantine(hub):
@@ -263,23 +272,23 @@
         network=hub.network("d0"),
         connections=Replicas(),
         daemons=FixedDaemons((peer(0, is_local=True),)),
-        store=Saved(),
+        store=AcceptingStore(),
         metrics=ServingMetrics(prometheus_client.CollectorRegistry()),
     )
 
 
-class LateStore:
-    """A store that is away for the first listings."""
+class DownStore:
+    """A store that is down for its first two listings."""
 
     def __init__(self, objects):
         self.objects = objects
-        self.away = 2
+        self.failures_left = 2
         self.written = []
 
     async def list(self, kind):
-        self.away -= 1
-        if self.away >= 0:
-            detail = "the store is away"
+        self.failures_left -= 1
+        if self.failures_left >= 0:
+            detail = "the store is down"
             return Err(Failure(kind=FailureKind.STORE_UNKNOWN, detail=detail))
         return Ok(Listing(objects=self.objects, revision=1))
 
@@ -301,33 +310,33 @@
     return registry
 
 
-@when("a daemon that has said that it stops has evidence to save")
+@when("a daemon that has announced its stop has evidence to save")
 def stops_with_evidence(context):
-    async def story():
+    async def scenario():
         async with Hub() as hub:
-            context.store = LateStore(())
+            context.store = DownStore(())
             quarantine = _quarantine(hub)
             registry = _registry(hub, context.store, quarantine)
             await registry.save_quarantine()
             await registry.announce_stop()
-            quarantine.merge(GOOD)
+            quarantine.merge(THREE_CRASHES)
             await registry.save_quarantine()
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
-@then("the store holds nothing of it")
+@then("the store has no object of this daemon")
 def check_gone(context):
     assert context.store.written == []
 
 
-@when("a daemon starts while the store is away, and it comes back")
+@when("a daemon starts while the store is down, and the store comes back")
 def starts_without_store(context):
-    async def story():
+    async def scenario():
         async with Hub() as hub:
             quarantine = _quarantine(hub)
-            saved = {"at": hub.clock.wall(), "evidence": GOOD}
-            context.store = LateStore(
+            saved = {"at": hub.clock.wall(), "evidence": THREE_CRASHES}
+            context.store = DownStore(
                 (StoreObject(name="d0", revision=1, spec={"crashes": saved}),)
             )
             registry = _registry(hub, context.store, quarantine)
@@ -336,7 +345,7 @@
             await anyio.sleep(5.0)
             context.refused = quarantine.refusal(request("bad"))
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 @then("it registers only with the evidence that it had saved before")
@@ -348,23 +357,23 @@
 
 
 @when("a daemon is sent {value} as evidence")
-def sent_nonsense(context, value):
-    async def story():
+def sent_malformed(context, value):
+    async def scenario():
         async with Hub() as hub:
             quarantine = _quarantine(hub)
             hub.start(quarantine.run)
             await anyio.sleep(0.1)
-            quarantine.merge(GOOD)
+            quarantine.merge(THREE_CRASHES)
             answer = await quarantine.handle(
                 Request(method="POST", path="/", body=value.encode())
             )
             context.status = answer.status
             context.kept = quarantine.refusal(request("bad"))
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
-@then("it answers that it can't be read, and knows what it knew")
-def check_nonsense(context):
+@then("it answers with status 400 and keeps its own evidence")
+def check_malformed(context):
     assert context.status == 400, context.status
     assert context.kept is not None
--- a/features/steps/quarantine_process_steps.py
+++ b/features/steps/quarantine_process_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash replicas, with daemons as processes."""
+"""Steps for requests that crash replicas, with daemons as processes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from features.support.platform_rig import route, until
 
 DAEMONS = ("d1", "d2", "d3")
-MARK = b"crash-me"
-SETTLED_S = 1.0
-"""By then every daemon knows what has crashed three replicas."""
-EVERY_S = 0.1
-AFTERWARDS_S = 2.0
-MOST_AFTERWARDS = 3
+MARKER = b"crash-me"
+PROPAGATION_S = 1.0
+"""Time in which every daemon learns what has crashed three replicas."""
+INTERVAL_S = 0.1
+OBSERVED_S = 2.0
+MAX_LATE_ARRIVALS = 3
 LONG_BODY = 60_000
 
 KINDS = {
@@ -51,14 +51,14 @@
 
 
 class Callers:
-    """Sends the request that crashes replicas, and sound ones beside it."""
+    """Sends the request that crashes replicas, and harmless ones beside it."""
 
     def __init__(self, world, kind):
         self.world = world
         self.kind = kind
         self.daemons = list(DAEMONS)
         self.refused = []
-        self.sound = []
+        self.harmless_answers = []
         self._rng = random.Random(7)
         self._numbers = itertools.count()
 
@@ -74,26 +74,26 @@
     def arrivals(self):
         return sorted(at for r in self.replicas for at in r.crashing_arrivals)
 
-    async def crashing(self, daemon=None):
-        """Sends the request once more; returns what its caller gets."""
+    async def send_crashing(self, daemon=None):
+        """Sends the request once; returns the answer, None for none."""
         request = dict(self.kind)
         if request.get("method") != "GET":
             length = request.pop("body", 0)
-            request["body"] = MARK + b"." * length
+            request["body"] = MARKER + b"." * length
         began = anyio.current_time()
         answer = await self._send(daemon, **request)
         if answer is not None and answer[0] == 503:
             self.refused.append((anyio.current_time() - began, answer))
         return answer
 
-    async def one_sound(self):
-        """Sends a sound request, and again if it was not answered."""
+    async def send_harmless(self):
+        """Sends a harmless request twice, as a caller that retries."""
         request = dict(self.kind)
         number = next(self._numbers)
         request["path"] = request["path"].replace("crash-me", f"a{number}")
         request["body"] = b"" if "method" in request else b"%d" % number
         answers = [await self._send(None, **request) for _ in range(2)]
-        self.sound += answers
+        self.harmless_answers += answers
 
     async def _send(self, daemon, path, **changes):
         try:
@@ -107,19 +107,19 @@
             return None
 
     async def until_crashed(self, times):
-        """Sends the request until so many replicas have crashed."""
+        """Sends the request until `times` replicas have crashed."""
         with anyio.fail_after(10):
             while len(self.crashes) < times:
-                await self.crashing()
-                await anyio.sleep(EVERY_S)
+                await self.send_crashing()
+                await anyio.sleep(INTERVAL_S)
 
 
-def _play(context, story):
+def _play(context, scenario):
     async def whole(world):
         for number in range(4):
             for service in ("plain", "engine"):
                 replica = await world.add_replica(f"{service}{number}", service)
-                replica.crashes_on = MARK
+                replica.crashes_on = MARKER
                 replica.work_ms = 60.0
         await world.add_replica("s1", "stage")
         world.configure(_routes())
@@ -128,7 +128,7 @@
         )
         await anyio.sleep(0.5)
         callers = Callers(world, context.kind)
-        await story(world, callers)
+        await scenario(world, callers)
         context.callers = callers
         context.crashes = callers.crashes
         context.arrivals = callers.arrivals
@@ -136,105 +136,107 @@
     play(whole)
 
 
-@given("three daemons before four replicas that a {kind} crashes")
+@given("three daemons and four replicas that a {kind} crashes")
 def crashing_kind(context, kind):
     context.kind = KINDS[kind]
 
 
-@when("it comes again and again, at all daemons, beside sound requests")
-def comes_again(context):
-    async def story(world, callers):
+@when("it is sent repeatedly to all daemons, together with harmless requests")
+def sent_repeatedly(context):
+    async def scenario(world, callers):
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(15):
                 while len(callers.crashes) < 3:
-                    tasks.start_soon(callers.crashing)
-                    tasks.start_soon(callers.one_sound)
-                    await anyio.sleep(EVERY_S)
-            ends_at = callers.crashes[2] + SETTLED_S + AFTERWARDS_S
+                    tasks.start_soon(callers.send_crashing)
+                    tasks.start_soon(callers.send_harmless)
+                    await anyio.sleep(INTERVAL_S)
+            ends_at = callers.crashes[2] + PROPAGATION_S + OBSERVED_S
             while anyio.current_time() < ends_at:
-                tasks.start_soon(callers.crashing)
-                tasks.start_soon(callers.one_sound)
-                await anyio.sleep(EVERY_S)
+                tasks.start_soon(callers.send_crashing)
+                tasks.start_soon(callers.send_harmless)
+                await anyio.sleep(INTERVAL_S)
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@then("it reaches replicas three times at most once it has crashed three")
+@then("it reaches replicas at most three times after it has crashed three")
 def check_arrivals(context):
-    settled_at = context.crashes[2] + SETTLED_S
-    late = [at for at in context.arrivals if at > settled_at]
-    assert len(late) <= MOST_AFTERWARDS, (len(late), len(context.crashes))
+    propagated_at = context.crashes[2] + PROPAGATION_S
+    late = [at for at in context.arrivals if at > propagated_at]
+    assert len(late) <= MAX_LATE_ARRIVALS, (len(late), len(context.crashes))
 
 
-@then("it is refused at once, as not run, with a time to come back")
+@then("it is refused within 500 ms, as not run, with a time to retry after")
 def check_refused(context):
     refused = context.callers.refused
-    assert len(refused) > AFTERWARDS_S / EVERY_S / 2, len(refused)
+    assert len(refused) > OBSERVED_S / INTERVAL_S / 2, len(refused)
     for took_s, (_, headers, _) in refused[-10:]:
         assert took_s < 0.5, took_s
         assert float(headers["retry-after"]) > 0
 
 
-@then("no sound request is refused for it")
+@then("no harmless request is refused because of it")
 def check_sound(context):
-    sound = context.callers.sound
+    sound = context.callers.harmless_answers
     answered = [answer for answer in sound if answer is not None]
     assert len(answered) > 20, len(sound)
-    told = [a[2] for a in answered if a[0] == 503]
-    assert not any(b"crashed" in line for line in told), told
+    refusals = [a[2] for a in answered if a[0] == 503]
+    assert not any(b"crashed" in line for line in refusals), refusals
     last = sound[-10:]
     assert all(a is not None and a[0] == 200 for a in last), last
 
 
-@when("it has crashed three replicas and comes to a daemon that then starts")
-def comes_to_started(context):
-    async def story(world, callers):
+@when("it has crashed three replicas and is sent to a daemon that then starts")
+def sent_to_started(context):
+    async def scenario(world, callers):
         await callers.until_crashed(3)
-        await anyio.sleep(SETTLED_S)
+        await anyio.sleep(PROPAGATION_S)
         context.before = len(callers.arrivals)
         await world.start_process("d4")
-        context.answers = [await callers.crashing("d4") for _ in range(4)]
+        context.answers = [await callers.send_crashing("d4") for _ in range(4)]
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@when("it has crashed three replicas and comes to a daemon that stood still")
-def comes_to_stopped(context):
-    async def story(world, callers):
+@when("it has crashed three replicas and is sent to a daemon that was frozen")
+def sent_to_frozen(context):
+    async def scenario(world, callers):
         callers.daemons.remove("d3")
         context.processes["d3"].signal(signal.SIGSTOP)
         await callers.until_crashed(3)
-        await anyio.sleep(SETTLED_S)
+        await anyio.sleep(PROPAGATION_S)
         context.before = len(callers.arrivals)
         context.processes["d3"].signal(signal.SIGCONT)
-        await anyio.sleep(2 * SETTLED_S)
-        context.answers = [await callers.crashing("d3") for _ in range(4)]
+        await anyio.sleep(2 * PROPAGATION_S)
+        context.answers = [await callers.send_crashing("d3") for _ in range(4)]
 
-    _play(context, story)
+    _play(context, scenario)
 
 
 @when("it has crashed three replicas that each listen for 100 ms more")
 def listen_on(context):
-    async def story(world, callers):
+    async def scenario(world, callers):
         for crashing in callers.replicas:
             crashing.closes_ms = 100.0
             crashing.down_ms = 1_000.0
         with anyio.fail_after(10):
             while len(callers.crashes) < 3:
-                await callers.crashing()
-                await anyio.sleep(2 * SETTLED_S / 3)
-        await anyio.sleep(SETTLED_S)
+                await callers.send_crashing()
+                await anyio.sleep(2 * PROPAGATION_S / 3)
+        await anyio.sleep(PROPAGATION_S)
         context.before = len(callers.arrivals)
-        context.answers = [await callers.crashing(name) for name in DAEMONS]
+        context.answers = [
+            await callers.send_crashing(name) for name in DAEMONS
+        ]
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@when("a daemon hears of its third crash while it waits for its stages")
-def hears_meanwhile(context):
-    async def story(world, callers):
+@when("a daemon learns of its third crash while it waits for its stages")
+def learns_while_waiting(context):
+    async def scenario(world, callers):
         daemon = await world.start_daemon("d4")
-        await callers.crashing("d4")
+        await callers.send_crashing("d4")
         quarantine = daemon._core.quarantine
         await until(lambda: not quarantine.suspects.empty)
         digest = quarantine.suspects.encode()["crashes"][0][0]
@@ -244,7 +246,7 @@
         context.answers = []
 
         async def ask():
-            context.answers.append(await callers.crashing("d4"))
+            context.answers.append(await callers.send_crashing("d4"))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(ask)
@@ -252,24 +254,26 @@
             crashes = [[digest, f"elsewhere-{n}", 10] for n in range(2)]
             quarantine.merge({"crashes": crashes, "served": []})
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@when("it has crashed three replicas and comes to daemons that all died")
-def comes_to_new(context):
-    async def story(world, callers):
+@when("it has crashed three replicas and is sent to daemons that all died")
+def sent_to_restarted(context):
+    async def scenario(world, callers):
         await callers.until_crashed(3)
-        await anyio.sleep(SETTLED_S)
+        await anyio.sleep(PROPAGATION_S)
         context.before = len(callers.arrivals)
         for process in context.processes.values():
             process.signal(signal.SIGKILL)
             await process.end()
         await world.start_processes(*DAEMONS)
         context.answers = [
-            await callers.crashing(name) for name in DAEMONS for _ in range(2)
+            await callers.send_crashing(name)
+            for name in DAEMONS
+            for _ in range(2)
         ]
 
-    _play(context, story)
+    _play(context, scenario)
 
 
 @then("it reaches no replica again")
@@ -283,9 +287,9 @@
         assert float(headers["retry-after"]) > 0
 
 
-@when("five replicas crash under one lookup that is answered in between")
-def crashes_beside(context):
-    async def story(world, callers):
+@when("five replicas crash while running a lookup that is answered in between")
+def crashes_with_lookup(context):
+    async def scenario(world, callers):
         async def ask():
             return await world.request(
                 "/look/hot", daemon="d1", method="GET", request_id="hot"
@@ -301,7 +305,7 @@
                 await anyio.sleep(0.6)
         context.answers = [await ask() for _ in range(3)]
 
-    _play(context, story)
+    _play(context, scenario)
 
 
 def _busiest(callers):
@@ -323,7 +327,7 @@
 
 @when("replicas cut the answers to one booking eight times")
 def answers_cut(context):
-    async def story(world, callers):
+    async def scenario(world, callers):
         plain = [r for r in callers.replicas if r.name[0] == "p"]
         for replica in plain:
             replica.faults.add("cut")
@@ -338,4 +342,4 @@
         await until(lambda: not any(r.faults for r in plain))
         context.answers = [await book(daemon) for daemon in DAEMONS]
 
-    _play(context, story)
+    _play(context, scenario)
--- a/features/steps/state_readers_steps.py
+++ b/features/steps/state_readers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of who reads the store and who follows whom."""
+"""Steps for the choice of store readers and what they pass on."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 )
 from standins import virtual
 
-FIVE = ("a", "b", "c", "d", "e")
+DATA_CENTRES = ("a", "b", "c", "d", "e")
 
 
 @when("{count:d} daemons in five data centres choose who reads the store")
 def choose(context, count):
-    context.daemons = [peer(n, data_centres=FIVE) for n in range(count)]
+    context.daemons = [peer(n, data_centres=DATA_CENTRES) for n in range(count)]
     context.readers = state_readers.choose_readers(context.daemons)
     context.sources = _sources(context.daemons, ())
 
@@ -38,8 +38,8 @@
 @then("{count:d} of them do, in different data centres")
 def check_readers(context, count):
     assert len(context.readers) == count, context.readers
-    places = {reader.data_centre for reader in context.readers}
-    assert len(places) == min(count, len(FIVE))
+    data_centres = {reader.data_centre for reader in context.readers}
+    assert len(data_centres) == min(count, len(DATA_CENTRES))
 
 
 @then("no reader has over 64 followers on average")
@@ -81,17 +81,17 @@
     context.count = count
 
 
-def _play(context, story):
+def _play(context, scenario):
     async def run():
         async with StateFleet(count=context.count) as fleet:
-            await story(fleet)
+            await scenario(fleet)
 
     virtual.run_virtual(run, seed=1)
 
 
 @when("20 things change in 30 seconds")
 def many_changes(context):
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.attempts.clear()
         for number in range(20):
             fleet.store.put(KIND, f"t{number}", {})
@@ -101,7 +101,7 @@
         assert len(context.readers) == MIN_READERS
         context.seen = {n: s.seen for n, s in fleet.states.items()}
 
-    _play(context, story)
+    _play(context, scenario)
 
 
 @then("only its readers call the store, for each change and each wait once")
@@ -120,25 +120,25 @@
 
 
 @when("a thing changes")
-def one_change(context):
-    async def story(fleet):
+def single_change(context):
+    async def scenario(fleet):
         fleet.store.put(KIND, "new", {})
-        context.took = await fleet.until_all_know(
+        context.took_s = await fleet.until_all_have(
             "new", list(fleet.states), within_s=5.0
         )
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@then("all daemons know it within {within:d} ms")
-@then("all other daemons know it within {within:d} ms")
+@then("all daemons have it within {within:d} ms")
+@then("all other daemons have it within {within:d} ms")
 def check_took(context, within):
-    assert context.took * 1_000 <= within, context.took
+    assert context.took_s * 1_000 <= within, context.took_s
 
 
 @when("a reader {fault} and a thing changes")
 def reader_fault(context, fault):
-    async def story(fleet):
+    async def scenario(fleet):
         reader = fleet.readers[0]
         assert any(fleet.source_of(n) == reader for n in fleet.states)
         links = [(reader, "store"), ("store", reader)]
@@ -147,7 +147,7 @@
                 fleet.hub.freeze(reader)
             case "has died":
                 fleet.hub.kill(reader)
-            case "is gone without a word":
+            case "becomes unreachable":
                 for name in (*fleet.states, "store"):
                     links += [(reader, name), (name, reader)]
         if fault.startswith("is cut") or fault.startswith("is gone"):
@@ -160,55 +160,55 @@
         await anyio.sleep(0.05)
         fleet.store.put(KIND, "new", {})
         others = [name for name in fleet.states if name != reader]
-        context.took = await fleet.until_all_know("new", others, within_s=9.0)
+        context.took_s = await fleet.until_all_have("new", others, within_s=9.0)
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@when("the store is away for ten seconds and a thing changes as it returns")
-def store_away(context):
-    async def story(fleet):
+@when("the store is down for ten seconds and a thing changes as it returns")
+def store_down(context):
+    async def scenario(fleet):
         fleet.store.faults["down"] = True
         before = fleet.calls
         await anyio.sleep(10.0)
         context.calls = fleet.calls - before
         fleet.store.faults.clear()
         fleet.store.put(KIND, "new", {})
-        context.took = await fleet.until_all_know(
+        context.took_s = await fleet.until_all_have(
             "new", list(fleet.states), within_s=9.0
         )
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@then("it gets under 10 calls a daemon meanwhile")
-def check_calls_away(context):
+@then("it gets under 10 calls a daemon in that time")
+def check_calls_while_down(context):
     assert context.calls < 10 * context.count, context.calls
 
 
-@then("all daemons know the change within two seconds")
-@then("all daemons know them within two seconds")
+@then("all daemons have the change within two seconds")
+@then("all daemons have them within two seconds")
 def check_two_seconds(context):
-    assert context.took <= 2.0, context.took
+    assert context.took_s <= 2.0, context.took_s
 
 
-@when("the store turns all but one of them away and a thing changes")
-def turned_away(context):
-    async def story(fleet):
+@when("the store rejects all but one of them and a thing changes")
+def rejected(context):
+    async def scenario(fleet):
         served = fleet.readers[-1]
-        fleet.turned_away = set(fleet.states) - {served}
+        fleet.rejected = set(fleet.states) - {served}
         await anyio.sleep(2.0)
         fleet.store.put(KIND, "new", {})
-        context.took = await fleet.until_all_know(
+        context.took_s = await fleet.until_all_have(
             "new", list(fleet.states), within_s=9.0
         )
 
-    _play(context, story)
+    _play(context, scenario)
 
 
-@when("a daemon is told an older state by another one than it has")
+@when("a daemon receives an older state than its own from another one")
 def older_state(context):
-    async def story():
+    async def scenario():
         state = Things(store=None, clock=EventLoopClock())
         state.merge(
             {"revision": 9, "age_ms": 0, "objects": [["new", 9, {}]]},
@@ -221,10 +221,10 @@
             state.merge(older, source="d2")
         context.state = state
 
-    virtual.run_virtual(story, seed=1)
+    virtual.run_virtual(scenario, seed=1)
 
 
-@then("it keeps what it has")
+@then("it keeps its own state")
 def check_kept(context):
     assert context.state.names == {"new"}
     assert context.state.revision == 9
@@ -232,13 +232,13 @@
 
 @when("things change while the store's history is lost")
 def history_lost(context):
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.put(KIND, "first", {})
         fleet.store.forget_history()
         fleet.store.put(KIND, "new", {})
-        context.took = await fleet.until_all_know(
+        context.took_s = await fleet.until_all_have(
             "new", list(fleet.states), within_s=5.0
         )
         assert all("first" in s.names for s in fleet.states.values())
 
-    _play(context, story)
+    _play(context, scenario)
--- a/features/support/quarantine_fleet.py
+++ b/features/support/quarantine_fleet.py
@@ -25,11 +25,11 @@
 from features.support.state_fleet import FixedDaemons, peer
 from standins.hub import Hub
 
-PROBE_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 
 
 def request(digest):
-    """Returns a request as far as a quarantine looks at it."""
+    """Returns a stand-in for a request, with its digest only."""
     return types.SimpleNamespace(digest=digest)
 
 
@@ -45,7 +45,7 @@
 
 
 class Replicas(BackendConnections):
-    """Replicas that are up, but for those that are down."""
+    """Connections to replicas; those in `down` refuse them."""
 
     def __init__(self):
         self.down = set()
@@ -57,15 +57,15 @@
         yield None
 
 
-class Saved(QuarantineStore):
-    """A store that takes everything and keeps nothing."""
+class AcceptingStore(QuarantineStore):
+    """A store that accepts every write and keeps nothing."""
 
     async def save_quarantine(self):
         return Ok(None)
 
 
 class QuarantineFleet:
-    """Daemons that all know one another, and probe one another by turns."""
+    """Daemons of one deployment, which probe one another at random."""
 
     def __init__(self, *, count, probes=False):
         self.hub = Hub()
@@ -99,11 +99,11 @@
 
     @property
     def others(self):
-        """Daemons that collect nothing."""
+        """Daemons that are no collectors."""
         return [n for n in self.quarantines if n not in self.collectors]
 
     def crash(self, number, seen):
-        """Crashes a replica; `seen` has the digests under way, by daemon."""
+        """Crashes a replica; `seen` has the digests in progress, by daemon."""
         crashed = replica(number)
         self.replicas.down.add(crashed.address)
         for name, digests in seen.items():
@@ -112,21 +112,21 @@
                     request(digest), crashed
                 )
 
-    def lose(self, name):
-        """Has all others believe that a daemon is gone."""
+    def remove(self, name):
+        """Removes a daemon from the view of all others."""
         for own, view in self._views.items():
             view._daemons = tuple(d for d in self._all(own) if d.name != name)
         del self.quarantines[name]
 
     async def until_all_refuse(self, digest, names, *, within_s):
-        """Returns after how long all of `names` refuse a request."""
-        began = anyio.current_time()
+        """Waits until all of `names` refuse; returns the seconds taken."""
+        started_at = anyio.current_time()
         while not all(self.refuses(name, digest) for name in names):
-            assert anyio.current_time() - began < within_s, [
+            assert anyio.current_time() - started_at < within_s, [
                 n for n in names if not self.refuses(n, digest)
             ]
             await anyio.sleep(0.01)
-        return anyio.current_time() - began
+        return anyio.current_time() - started_at
 
     def refuses(self, name, digest):
         return self.quarantines[name].refusal(request(digest)) is not None
@@ -148,7 +148,7 @@
             network=self.hub.network(name),
             connections=self.replicas,
             daemons=view,
-            store=Saved(),
+            store=AcceptingStore(),
             metrics=ServingMetrics(prometheus_client.CollectorRegistry()),
         )
         self._views[name] = view
@@ -164,21 +164,21 @@
         self.hub.start(quarantine.run)
 
     async def _probe(self):
-        """Lets each daemon exchange what membership's messages carry."""
-        riders = {n: q.attachment for n, q in self.quarantines.items()}
+        """Passes attachments in both directions between random pairs."""
+        attachments = {n: q.attachment for n, q in self.quarantines.items()}
         while True:
-            await anyio.sleep(PROBE_EVERY_S)
-            for name in riders:
-                other = self._rng.choice(sorted(riders))
+            await anyio.sleep(PROBE_INTERVAL_S)
+            for name in attachments:
+                other = self._rng.choice(sorted(attachments))
                 if other != name and not {name, other} & self.cut_off:
-                    _carry(riders, name, other)
-                    _carry(riders, other, name)
+                    _exchange(attachments, name, other)
+                    _exchange(attachments, other, name)
 
 
-def _carry(riders, sender, receiver):
-    value = riders[sender].write(_member(receiver))
+def _exchange(attachments, sender, receiver):
+    value = attachments[sender].write(_member(receiver))
     if value is not None:
-        riders[receiver].read(_member(sender), value)
+        attachments[receiver].read(_member(sender), value)
 
 
 def _member(name):
--- a/features/support/state_fleet.py
+++ b/features/support/state_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons that follow a store's states, on a hub in virtual time."""
+"""Daemons that follow the state of a store, on a hub in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def peer(number: int, *, data_centres=DATA_CENTRES, **values) -> PeerDaemon:
-    """Returns daemon `number`, its data centre by turns."""
+    """Returns daemon `number`; data centres are assigned in turn."""
     return PeerDaemon(
         name=f"d{number}",
         address=f"d{number}:1",
@@ -43,7 +43,7 @@
 
 
 class Things(FollowedState):
-    """A state that only counts in what order its things came."""
+    """A state that only records the order in which its things arrive."""
 
     def __init__(self, **values) -> None:
         super().__init__(kind=KIND, **values)
@@ -61,7 +61,7 @@
 
 
 class StateFleet:
-    """A store, and daemons that all know one another."""
+    """A store, and daemons that are all members of one deployment."""
 
     def __init__(self, *, count: int, seed: int = 1) -> None:
         self.hub = Hub()
@@ -69,7 +69,7 @@
         self.states: dict[str, Things] = {}
         self.exchanges: dict[str, StateExchange] = {}
         self.attempts: collections.Counter[str] = collections.Counter()
-        self.turned_away: set[str] = set()
+        self.rejected: set[str] = set()
         self._count = count
         self._rng = random.Random(seed)
 
@@ -94,8 +94,8 @@
     def source_of(self, name: str) -> str:
         return self.exchanges[name]._source
 
-    async def until_all_know(self, thing: str, names, *, within_s: float):
-        """Returns after how long all of `names` know a thing."""
+    async def until_all_have(self, thing: str, names, *, within_s: float):
+        """Waits until all of `names` have a thing; returns the seconds taken."""
         began = anyio.current_time()
         while not all(thing in self.states[name].names for name in names):
             assert anyio.current_time() - began < within_s, [
@@ -105,11 +105,11 @@
         return anyio.current_time() - began
 
     def _store_for(self, name: str) -> str:
-        """Returns the store's address for one daemon, to tell its calls."""
+        """Returns a store address for one daemon only, to count its calls."""
 
         async def handle(request: Request) -> Response:
             self.attempts[name] += 1
-            if name in self.turned_away:
+            if name in self.rejected:
                 return json_response({}, status=503)
             return await self.store.routes.handle(request)
 
