--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -265,15 +265,15 @@
         local_change.set()
 
     def _on_shared_change(self) -> None:
-        quarantined = self._suspects.quarantined()
-        for digest in quarantined - self._quarantined:
+        digests = self._suspects.quarantined()
+        for digest in digests - self._quarantined:
             events.log(
                 events.Event.REQUEST_QUARANTINED,
                 digest=digest,
                 replicas=self._suspects.crashed_replicas(digest),
             )
-        self._quarantined = quarantined
-        self._metrics.quarantined(len(quarantined))
+        self._quarantined = digests
+        self._metrics.quarantined(len(digests))
         shared_change, self._shared_change = self._shared_change, anyio.Event()
         shared_change.set()
 
--- a/features/steps/quarantine_evidence_steps.py
+++ b/features/steps/quarantine_evidence_steps.py
@@ -149,10 +149,10 @@
     assert context.traced_bytes < 2_000_000, context.traced_bytes
     if not known.empty:
         assert known.quarantined() == {"bad"}
-        told = known.encode(
+        shared = known.encode(
             min_crashes=MIN_SHARED_CRASHES, max_requests=MAX_SHARED_REQUESTS
         )
-        assert len(json.dumps(told)) < 16_000
+        assert len(json.dumps(shared)) < 16_000
 
 
 @when("daemons receive evidence of crashes in any order, some of it twice")
@@ -162,7 +162,7 @@
     @settings(max_examples=EXAMPLES, derandomize=True, deadline=None)
     @given_values(st.lists(pairs, max_size=30), st.randoms())
     def check(evidence, shuffled):
-        def judge(lines):
+        def quarantined_after(lines):
             clock, known = _suspects()
             clock.at = 1_000.0
             for digest, crashed, served in lines:
@@ -173,7 +173,7 @@
 
         again = [*evidence, *evidence[:5]]
         shuffled.shuffle(again)
-        assert judge(again) == judge(evidence)
+        assert quarantined_after(again) == quarantined_after(evidence)
 
     context.check = check
 
@@ -208,24 +208,24 @@
     many crashes the bad one was not accompanied by a retried one.
     """
     known = kind(clock=ManualClock())
-    quarantined_harmless = set()
+    refused_harmless = set()
     retrying = []
     unaccompanied = 0
     for number in range(12):
         if known.quarantine_left_ms("bad"):
             break
         beside = [f"new-{number}-{n}" for n in range(rng.randrange(3))]
-        back = [s for s in retrying if rng.random() < 0.7]
-        unaccompanied += not back
+        retried = [s for s in retrying if rng.random() < 0.7]
+        unaccompanied += not retried
         for digest in rng.sample(
-            ["bad", *beside, *back], 1 + len(beside + back)
+            ["bad", *beside, *retried], 1 + len(beside + retried)
         ):
             known.record_crash(digest, f"r{number}")
-        quarantined_harmless |= known.quarantined() - {"bad"}
-        for sound in set(retrying) - set(back):
-            known.record_served(sound)
-        retrying = back + beside
-    return quarantined_harmless, unaccompanied
+        refused_harmless |= known.quarantined() - {"bad"}
+        for harmless in set(retrying) - set(retried):
+            known.record_served(harmless)
+        retrying = retried + beside
+    return refused_harmless, unaccompanied
 
 
 @when("random mixes of requests are in progress when replicas crash")
@@ -239,24 +239,24 @@
 
 @then("only the cause is quarantined, at its third crash without other retries")
 def check_mixes(context):
-    for quarantined_harmless, unaccompanied in context.plays[CrashSuspects]:
-        assert not quarantined_harmless, quarantined_harmless
+    for refused_harmless, unaccompanied in context.plays[CrashSuspects]:
+        assert not refused_harmless, refused_harmless
         assert unaccompanied <= MIN_QUARANTINE_CRASHES
 
 
 @then("a rule that only counts crashes fails this check")
 def check_naive(context):
     assert any(
-        quarantined_harmless
-        for quarantined_harmless, _ in context.plays[CrashCountRule]
+        refused_harmless
+        for refused_harmless, _ in context.plays[CrashCountRule]
     )
 
 
 @then("a rule that counts a crash for all tied requests fails this check")
 def check_shares(context):
     assert any(
-        quarantined_harmless
-        for quarantined_harmless, _ in context.plays[SharedCrashRule]
+        refused_harmless
+        for refused_harmless, _ in context.plays[SharedCrashRule]
     )
 
 
@@ -277,7 +277,7 @@
     )
 
 
-class DownStore:
+class RecoveringStore:
     """A store that is down for its first two listings."""
 
     def __init__(self, objects):
@@ -314,7 +314,7 @@
 def stops_with_evidence(context):
     async def scenario():
         async with Hub() as hub:
-            context.store = DownStore(())
+            context.store = RecoveringStore(())
             quarantine = _quarantine(hub)
             registry = _registry(hub, context.store, quarantine)
             await registry.save_quarantine()
@@ -336,7 +336,7 @@
         async with Hub() as hub:
             quarantine = _quarantine(hub)
             saved = {"at": hub.clock.wall(), "evidence": THREE_CRASHES}
-            context.store = DownStore(
+            context.store = RecoveringStore(
                 (StoreObject(name="d0", revision=1, spec={"crashes": saved}),)
             )
             registry = _registry(hub, context.store, quarantine)
--- a/features/steps/quarantine_process_steps.py
+++ b/features/steps/quarantine_process_steps.py
@@ -176,13 +176,13 @@
 
 
 @then("no harmless request is refused because of it")
-def check_sound(context):
-    sound = context.callers.harmless_answers
-    answered = [answer for answer in sound if answer is not None]
-    assert len(answered) > 20, len(sound)
+def check_harmless(context):
+    answers = context.callers.harmless_answers
+    answered = [answer for answer in answers if answer is not None]
+    assert len(answered) > 20, len(answers)
     refusals = [a[2] for a in answered if a[0] == 503]
     assert not any(b"crashed" in line for line in refusals), refusals
-    last = sound[-10:]
+    last = answers[-10:]
     assert all(a is not None and a[0] == 200 for a in last), last
 
 
--- a/features/support/quarantine_fleet.py
+++ b/features/support/quarantine_fleet.py
@@ -119,7 +119,7 @@
         del self.quarantines[name]
 
     async def until_all_refuse(self, digest, names, *, within_s):
-        """Waits until all of `names` refuse; returns the seconds taken."""
+        """Waits until all of `names` refuse; returns the time in s."""
         started_at = anyio.current_time()
         while not all(self.refuses(name, digest) for name in names):
             assert anyio.current_time() - started_at < within_s, [
--- a/features/support/state_fleet.py
+++ b/features/support/state_fleet.py
@@ -95,7 +95,7 @@
         return self.exchanges[name]._source
 
     async def until_all_have(self, thing: str, names, *, within_s: float):
-        """Waits until all of `names` have a thing; returns the seconds taken."""
+        """Waits until all of `names` have a thing; returns the time in s."""
         began = anyio.current_time()
         while not all(thing in self.states[name].names for name in names):
             assert anyio.current_time() - began < within_s, [
