--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -1,8 +1,9 @@
-"""Takes each decision to the daemon that decides for its service.
+"""Sends stage work and engine placements to the decider of a service.
 
-Pieces of different requests share calls, and engines are chosen with all of
-their work known, only where one daemon sees both. Which one it is follows
-from the members; if it is silent the next one decides, and at last this one.
+Pieces of different requests can share calls, and engines can be chosen by
+their whole load, only if one daemon schedules all work of a service. That
+daemon, the decider, follows from the membership. If it is silent the next one
+is used, and as the last resort this daemon.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind, Ran
 from cactusdyke.kernel import Service
-from cactusdyke.serving.decided import DecidedServices
+from cactusdyke.serving.decided_services import DecidedServices
 from cactusdyke.serving.dispatch_messages import (
-    StageMade,
+    StageOutcome,
     StageWork,
-    failure_from,
-    generation_to,
-    work_to,
+    decode_failure,
+    encode_generation,
+    encode_work,
 )
-from cactusdyke.serving.holdings import Holdings, briefing_to
 from cactusdyke.serving.model import Replica
 from cactusdyke.serving.peers import PeerDaemon
+from cactusdyke.serving.resource_tracker import ResourceTracker, encode_snapshot
 from cactusdyke.serving.stage_queue import Backlog
 from cactusdyke.transport.messages import JSON_TYPE, Request, parse_object
 from cactusdyke.transport.network import CallOptions
@@ -37,36 +38,37 @@
 
     from cactusdyke.clock import Clock, Instant
     from cactusdyke.serving.decider import Decider
-    from cactusdyke.serving.deciders import Deciders
+    from cactusdyke.serving.decider_directory import DeciderDirectory
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.peer_watch import PeerWatch
     from cactusdyke.serving.request import Generation
     from cactusdyke.transport.network import Network
 
 STAGE_PATH = "/internal/v1/stage-group"
-PLACE_PATH = "/internal/v1/placement"
-NOTES_PATH = "/internal/v1/notes"
+PLACEMENT_PATH = "/internal/v1/placement"
+NOTIFICATIONS_PATH = "/internal/v1/notes"
 CONNECT_TIMEOUT_MS = 250.0
-PLACE_TIMEOUT_MS = 150.0
-"""A tenth of the shortest objectives; choosing alone is better than waiting."""
-NOTES_EVERY_MS = 8.0
-NOTES_TIMEOUT_MS = 500.0
-MOST_NOTES = 2_000
-BACKLOG_VALUES = 2
-MOST_TURNS = 4
-"""After so many daemons that gave the work back it is made here."""
-HAND_OVER_EVERY_MS = 200.0
+PLACEMENT_TIMEOUT_MS = 150.0
+"""A tenth of the shortest objective; a local choice is better than waiting."""
+NOTIFY_INTERVAL_MS = 8.0
+NOTIFY_TIMEOUT_MS = 500.0
+MAX_NOTIFICATIONS = 2_000
+"""Queue limit per receiving daemon; further notifications are dropped."""
+BACKLOG_FIELDS = 2
+MAX_ROUTING_ATTEMPTS = 4
+"""Work that was returned or redirected this often is done by this daemon."""
+HANDOVER_INTERVAL_MS = 200.0
 EARLY_FREE_BACKLOG_MS = 200.0
-"""About a call: with less waiting for it the memory is not what binds."""
+"""About the length of a call; below it memory is not the bottleneck."""
 EARLY_FREE_STABLE_MS = 3_000.0
-"""By then all agree on who decides. While two did, calls waited behind the
-other's at the replicas and found their inputs freed, 1,700 pieces in a day of
-rolling stops."""
+"""Within this time all daemons agree on the decider. With two deciders, calls
+of one queue wait at the replicas behind those of the other and find their
+inputs freed: 1,700 pieces in a day of rolling stops."""
 
 
 @attrs.frozen(kw_only=True)
-class Placed:
-    """An engine that was chosen, and by whom."""
+class ChosenEngine:
+    """An engine chosen for a request, and the daemon that chose it."""
 
     replica: Replica
     service: str
@@ -75,14 +77,14 @@
 
 
 class Dispatch(Service):
-    """Asks the deciding daemons, this one where it decides itself."""
+    """Calls the deciders of services, directly if that is this daemon."""
 
     def __init__(
         self,
         *,
         clock: Clock,
         network: Network,
-        deciders: Deciders,
+        deciders: DeciderDirectory,
         watch: PeerWatch,
         decider: Decider,
         deployment: Deployment,
@@ -95,126 +97,153 @@
         self._decider = decider
         self._deployment = deployment
         self._announce = announce
-        self._holdings = Holdings(clock=clock)
-        self._met: dict[str, str] = {}
+        self._tracker = ResourceTracker(clock=clock)
+        self._last_decider: dict[str, str] = {}
         self._decided = DecidedServices(clock=clock, deciders=deciders)
-        self._notes: dict[str, list[Any]] = {}
+        self._notifications: dict[str, list[Any]] = {}
         self._backlogs: dict[str, tuple[Backlog, Instant]] = {}
-        self._noted = anyio.Event()
-        decider.free_inputs_by(self._free_early)
+        self._notification_added = anyio.Event()
+        decider.set_free_inputs(self._free_early)
 
     @property
-    def decides(self) -> frozenset[int]:
-        """Marks of the services that this daemon decides for."""
-        return self._decided.marks
+    def decided_hashes(self) -> frozenset[int]:
+        """Service hashes of the services that this daemon is the decider of."""
+        return self._decided.service_hashes
 
     async def run(self) -> None:
-        """Sends notes to the daemons that decide."""
+        """Sends queued notifications and hands groups over to new deciders."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._hand_over)
+            tasks.start_soon(self._handover_loop)
             while True:
-                await self._noted.wait()
-                await self._clock.sleep(NOTES_EVERY_MS)
-                self._noted = anyio.Event()
-                notes, self._notes = self._notes, {}
-                for address, lines in notes.items():
-                    tasks.start_soon(self._send_notes, address, lines)
-
-    async def _hand_over(self) -> None:
+                await self._notification_added.wait()
+                await self._clock.sleep(NOTIFY_INTERVAL_MS)
+                self._notification_added = anyio.Event()
+                pending, self._notifications = self._notifications, {}
+                for address, notifications in pending.items():
+                    tasks.start_soon(
+                        self._send_notifications, address, notifications
+                    )
+
+    async def _handover_loop(self) -> None:
         while True:
-            await self._clock.sleep(HAND_OVER_EVERY_MS)
-            self._decider.hand_over(
-                lambda name: self._deciders.by_members(name).own
+            await self._clock.sleep(HANDOVER_INTERVAL_MS)
+            self._decider.handover(
+                lambda name: self._deciders.decider_by_membership(name).is_local
             )
-            # Whoever has run for two seconds goes before daemons that have not,
-            # but for what these say that they decide. Told in the rounds of
-            # probes that came too late: seen as three to seven deciders for a
-            # service in the third second after a loss of all daemons.
-            if self._decided.update(self._decider.decided):
+            # A daemon that has run for two seconds ranks before newer ones,
+            # unless these announce that they are the decider. Announced with
+            # the regular probes only, this arrives too late: after the loss
+            # of all daemons a service had three to seven deciders in the
+            # third second.
+            if self._decided.update(self._decider.active_services):
                 self._announce()
 
-    def _meet(self, service: str) -> PeerDaemon:
-        """Returns who decides; tells a new one what is held from here.
+    def _decider_for(self, service: str) -> PeerDaemon:
+        """Returns the decider of a service, and informs a new one.
 
-        It would take the makers' memory for empty, and send engines prompts
-        that others have read.
+        Without this daemon's resource snapshot a new decider would assume
+        that the memory of stage replicas is empty, and would send prompts to
+        engines other than those that have cached them.
         """
-        peer = self._deciders.first(service)
-        before = self._met.get(service)
+        peer = self._deciders.decider_of(service)
+        before = self._last_decider.get(service)
         if before == peer.name:
             return peer
-        self._met[service] = peer.name
-        briefing = self._holdings.briefing(service)
-        if before is None or briefing.empty:
+        self._last_decider[service] = peer.name
+        snapshot = self._tracker.snapshot(service)
+        if before is None or snapshot.is_empty:
             return peer
         events.log(
             events.Event.DECIDER_CHANGED,
             service=service,
             before=before,
             now=peer.name,
-            results=len(briefing.results),
-            prompts=len(briefing.prompts),
+            results=len(snapshot.results),
+            prompts=len(snapshot.prompts),
         )
-        if peer.own:
-            self._decider.learn(service, briefing)
+        if peer.is_local:
+            self._decider.merge_snapshot(service, snapshot)
         else:
-            self._note(peer, ["briefing", service, briefing_to(briefing)])
+            self._notify(peer, ["briefing", service, encode_snapshot(snapshot)])
         return peer
 
-    async def make(self, work: StageWork) -> Result[StageMade, Failure]:
-        """Makes the results of one stage."""
+    async def compute_stage(
+        self, work: StageWork
+    ) -> Result[StageOutcome, Failure]:
+        """Computes the results of one stage.
+
+        Follows redirects. In the attempt before the last one the other daemon
+        has to accept the work; in the last one this daemon does it.
+        """
         began = self._clock.now()
-        for turn in range(MOST_TURNS):
-            peer = self._meet(work.service)
-            left = _later(work, self._clock.now() - began)
-            last = turn == MOST_TURNS - 1
-            if peer.own or last:
-                answer = await self._decider.make_work(left, pinned=last)
+        for attempt in range(MAX_ROUTING_ATTEMPTS):
+            peer = self._decider_for(work.service)
+            remaining = _after_elapsed(work, self._clock.now() - began)
+            last = attempt == MAX_ROUTING_ATTEMPTS - 1
+            if peer.is_local or last:
+                answer = await self._decider.compute_work(
+                    remaining, pinned=last
+                )
             else:
-                insists = turn == MOST_TURNS - 2
-                answer = await self._make_at(peer, left, insists=insists)
+                must_accept = attempt == MAX_ROUTING_ATTEMPTS - 2
+                answer = await self._compute_at(
+                    peer, remaining, must_accept=must_accept
+                )
             if isinstance(answer, Ok):
-                made = [h for h in answer.ok_value.handles if h]
-                self._holdings.made(work.service, made, work.result_bytes)
+                computed = [h for h in answer.ok_value.handles if h]
+                self._tracker.record_results(
+                    work.service, computed, work.result_bytes
+                )
             if answer is not None:
                 return answer
-        return Err(_no_service(work))
+        return Err(_unknown_service_failure(work))
 
     def backlog(self, service: str) -> Backlog:
-        """Returns how long pieces of a service wait, as last told.
+        """Returns the queueing time of a service's pieces, as last reported.
 
-        What was told fades as time passes: the queue has been worked on.
+        A reported time is reduced by its age, as the queue has been processed
+        since.
         """
-        if self._deciders.first(service).own:
+        if self._deciders.decider_of(service).is_local:
             return self._decider.backlog(service)
-        told, at = self._backlogs.get(service, (Backlog(), 0.0))
+        reported, at = self._backlogs.get(service, (Backlog(), 0.0))
         age_ms = self._clock.now() - at
         return Backlog(
-            hopeful_ms=max(0.0, told.hopeful_ms - age_ms),
-            all_ms=max(0.0, told.all_ms - age_ms),
+            hopeful_ms=max(0.0, reported.hopeful_ms - age_ms),
+            all_ms=max(0.0, reported.all_ms - age_ms),
         )
 
-    def _told_backlog(self, service: str, value: Any) -> None:
-        if isinstance(value, list) and len(value) == BACKLOG_VALUES:
-            told = Backlog(hopeful_ms=float(value[0]), all_ms=float(value[1]))
-            self._backlogs[service] = (told, self._clock.now())
+    def _update_backlog(self, service: str, value: Any) -> None:
+        if isinstance(value, list) and len(value) == BACKLOG_FIELDS:
+            reported = Backlog(
+                hopeful_ms=float(value[0]), all_ms=float(value[1])
+            )
+            self._backlogs[service] = (reported, self._clock.now())
 
     def free(self, service: str, handles: Sequence[str]) -> None:
-        """Frees results at the daemon that keeps count of them."""
+        """Frees results at the decider, which accounts for them."""
         if not handles:
             return
-        self._holdings.freed(service, handles)
-        peer = self._meet(service)
-        if peer.own:
+        self._tracker.record_freed(service, handles)
+        peer = self._decider_for(service)
+        if peer.is_local:
             self._decider.free(service, handles)
         else:
-            self._note(peer, ["free", service, list(handles)])
+            self._notify(peer, ["free", service, list(handles)])
 
     def _free_early(self, service: str, handles: Sequence[str]) -> bool:
-        """Frees inputs that calls have fetched, if that helps anybody.
+        """Frees inputs that calls have fetched, if memory is a bottleneck.
+
+        If a piece fails afterwards, as for 2 in 100 requests, the request
+        loses all its results. Where memory is the bottleneck, batches become
+        a third larger.
 
-        It costs the requests of which a piece fails afterwards, 2 in 100, all
-        their results; where memory binds it makes calls a third fuller.
+        Args:
+            service: Service that computed the inputs.
+            handles: Handles of the inputs.
+
+        Returns:
+            Whether the inputs are freed.
         """
         if self.backlog(service).all_ms < EARLY_FREE_BACKLOG_MS:
             return False
@@ -230,33 +259,38 @@
         generation: Generation,
         exclude: Collection[str],
         inputs: Mapping[str, float],
-    ) -> Placed | None:
+    ) -> ChosenEngine | None:
         """Chooses an engine for a request.
 
         Args:
-            service: The engines' service.
-            placement_id: Names the attempt in `started` and `ended`.
-            generation: What the request asks for.
+            service: Service of the engines.
+            placement_id: Identifies the attempt in later notifications.
+            generation: Parameters of the generation, with the prompt's parts.
             exclude: Names of engines that failed the request.
-            inputs: Bytes of stages' results to fetch, by data centre.
+            inputs: Bytes of stage results to fetch, by data centre.
+
+        Returns:
+            The chosen engine; None if there is none.
         """
-        own = self._deciders.own()
-        peer = self._meet(service)
+        local = self._deciders.local_daemon()
+        peer = self._decider_for(service)
         replica: Replica | None = None
-        if not peer.own:
+        if not peer.is_local:
             replica = await self._place_at(
                 peer, service, placement_id, generation, exclude, inputs
             )
-            peer = self._deciders.first(service)
+            peer = self._deciders.decider_of(service)
         if replica is None or not self._deployment.may_use(replica):
-            peer = own
+            peer = local
             replica = self._decider.place(
                 service, placement_id, generation, exclude, inputs
             )
         if replica is None:
             return None
-        self._holdings.placed(service, placement_id, replica.name, generation)
-        return Placed(
+        self._tracker.record_placement(
+            service, placement_id, replica.name, generation
+        )
+        return ChosenEngine(
             replica=replica,
             service=service,
             placement_id=placement_id,
@@ -264,13 +298,13 @@
         )
 
     async def locate(self, service: str, generation: Generation) -> str:
-        """Returns the data centre of the engine that knows a subject.
+        """Returns the data centre of the engine that caches a subject.
 
-        Empty if none does, or the one that does has too much work.
+        Empty if none does, or if the one that does is too busy.
         """
-        peer = self._deciders.first(service)
+        peer = self._deciders.decider_of(service)
         replica: Replica | None = None
-        if not peer.own:
+        if not peer.is_local:
             replica = await self._place_at(
                 peer, service, "", generation, (), {}
             )
@@ -279,48 +313,50 @@
         return replica.data_centre if replica else ""
 
     def data_centre_of(self, handle: str) -> str:
-        """Returns where a result lies, empty if its maker is gone."""
+        """Returns a result's data centre; empty if its replica was removed."""
         return self._decider.data_centre_of(handle)
 
-    def started(self, placed: Placed) -> None:
-        """Tells that a request's first token has come."""
-        self._holdings.started(placed.service, placed.placement_id)
-        if placed.decider.own:
-            self._decider.started(placed.service, placed.placement_id)
+    def notify_first_token(self, chosen: ChosenEngine) -> None:
+        """Notifies the decider of a request's first token."""
+        self._tracker.record_first_token(chosen.service, chosen.placement_id)
+        if chosen.decider.is_local:
+            self._decider.record_first_token(
+                chosen.service, chosen.placement_id
+            )
         else:
-            self._note(
-                placed.decider,
-                ["started", placed.service, placed.placement_id],
+            self._notify(
+                chosen.decider,
+                ["started", chosen.service, chosen.placement_id],
             )
 
-    def ended(self, placed: Placed, *, failed: bool) -> None:
-        """Tells that a request has left its engine."""
-        self._holdings.ended(placed.service, placed.placement_id)
-        if placed.decider.own:
-            self._decider.ended(
-                placed.service, placed.placement_id, failed=failed
+    def notify_end(self, chosen: ChosenEngine, *, failed: bool) -> None:
+        """Notifies the decider that a request has ended at its engine."""
+        self._tracker.record_end(chosen.service, chosen.placement_id)
+        if chosen.decider.is_local:
+            self._decider.record_end(
+                chosen.service, chosen.placement_id, failed=failed
             )
         else:
-            self._note(
-                placed.decider,
-                ["ended", placed.service, placed.placement_id, failed],
+            self._notify(
+                chosen.decider,
+                ["ended", chosen.service, chosen.placement_id, failed],
             )
 
-    async def _make_at(
-        self, peer: PeerDaemon, work: StageWork, *, insists: bool
-    ) -> Result[StageMade, Failure] | None:
-        """Asks another daemon; None if it has to be asked elsewhere."""
+    async def _compute_at(
+        self, peer: PeerDaemon, work: StageWork, *, must_accept: bool
+    ) -> Result[StageOutcome, Failure] | None:
+        """Sends work to another daemon; None if it has to be sent elsewhere."""
         answered = False
         try:
-            with self._watch.waiting_for(peer):
-                body = {**work_to(work), "insists": insists}
+            with self._watch.cancel_if_silent(peer):
+                body = {**encode_work(work), "insists": must_accept}
                 answer = await self._fetch(
-                    peer, STAGE_PATH, body, work.ends_in_ms
+                    peer, STAGE_PATH, body, work.deadline_in_ms
                 )
                 answered = True
         finally:
             if not answered:
-                self._note(peer, ["cancel", work.service, work.name])
+                self._notify(peer, ["cancel", work.service, work.name])
         if not answered:
             return None
         if isinstance(answer, Err):
@@ -328,21 +364,21 @@
                 detail = answer.err_value.detail
                 self._watch.mark_silent(peer, detail=detail)
             else:
-                self._watch.suspect(peer)
+                self._watch.start_probing(peer)
             return None
         body = answer.ok_value
         if "moved" in body:
-            self._deciders.take_moved(work.service, body["moved"])
+            self._deciders.apply_redirect(work.service, body["moved"])
             return None
-        self._told_backlog(work.service, body.get("backlog"))
+        self._update_backlog(work.service, body.get("backlog"))
         if "handles" in body:
             return Ok(
-                StageMade(
+                StageOutcome(
                     handles=tuple(body["handles"]),
                     inputs_freed=bool(body.get("inputs_freed")),
                 )
             )
-        return Err(failure_from(body["failure"]))
+        return Err(decode_failure(body["failure"]))
 
     async def _place_at(
         self,
@@ -356,24 +392,26 @@
         body: dict[str, Any] = {
             "service": service,
             "id": placement_id,
-            "generation": generation_to(generation),
+            "generation": encode_generation(generation),
             "exclude": list(exclude),
             "inputs": {dc: round(size) for dc, size in inputs.items()},
         }
         answer: Result[dict[str, Any], Failure] | None = None
-        with self._clock.timeout(PLACE_TIMEOUT_MS):
-            answer = await self._fetch(peer, PLACE_PATH, body, PLACE_TIMEOUT_MS)
+        with self._clock.timeout(PLACEMENT_TIMEOUT_MS):
+            answer = await self._fetch(
+                peer, PLACEMENT_PATH, body, PLACEMENT_TIMEOUT_MS
+            )
             if isinstance(answer, Ok) and "moved" in answer.ok_value:
-                self._deciders.take_moved(service, answer.ok_value["moved"])
-                peer = self._deciders.first(service)
+                self._deciders.apply_redirect(service, answer.ok_value["moved"])
+                peer = self._deciders.decider_of(service)
                 body["insists"] = True
                 answer = await self._fetch(
-                    peer, PLACE_PATH, body, PLACE_TIMEOUT_MS
+                    peer, PLACEMENT_PATH, body, PLACEMENT_TIMEOUT_MS
                 )
         if answer is None or isinstance(answer, Err):
-            # One late answer may be this daemon's own fault; whether the other
-            # one is silent is asked before everyone's requests leave it.
-            self._watch.suspect(peer)
+            # A late answer may be caused by this daemon itself. The other one
+            # is probed before all requests avoid it as silent.
+            self._watch.start_probing(peer)
             return None
         name = answer.ok_value.get("replica")
         return self._deployment.replica(name) if name else None
@@ -394,7 +432,7 @@
         answer = await self._network.fetch(peer.address, request, options)
         if isinstance(answer, Err):
             return answer
-        self._watch.heard(peer.address)
+        self._watch.record_answer(peer.address)
         response = answer.ok_value
         if response.status != 200 or not isinstance(response.body, bytes):
             return Err(
@@ -406,39 +444,41 @@
             )
         return parse_object(response.body)
 
-    def _note(self, peer: PeerDaemon, line: list[Any]) -> None:
-        lines = self._notes.setdefault(peer.address, [])
-        if len(lines) < MOST_NOTES:
-            lines.append(line)
-        self._noted.set()
+    def _notify(self, peer: PeerDaemon, notification: list[Any]) -> None:
+        queued = self._notifications.setdefault(peer.address, [])
+        if len(queued) < MAX_NOTIFICATIONS:
+            queued.append(notification)
+        self._notification_added.set()
 
-    async def _send_notes(self, address: str, lines: list[Any]) -> None:
+    async def _send_notifications(
+        self, address: str, notifications: list[Any]
+    ) -> None:
         request = Request(
             method="POST",
-            path=NOTES_PATH,
+            path=NOTIFICATIONS_PATH,
             headers={"content-type": JSON_TYPE},
-            body=orjson.dumps({"notes": lines}),
+            body=orjson.dumps({"notes": notifications}),
         )
         options = CallOptions(
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
-            progress_timeout_ms=NOTES_TIMEOUT_MS,
+            progress_timeout_ms=NOTIFY_TIMEOUT_MS,
         )
-        # A note that is lost costs accuracy: results expire by themselves,
-        # and placements are forgotten after a while.
+        # A lost notification only costs accuracy: results expire by
+        # themselves, and placements are dropped after a while.
         answer = await self._network.fetch(address, request, options)
         if answer.is_ok():
-            self._watch.heard(address)
+            self._watch.record_answer(address)
 
 
-def _later(work: StageWork, passed_ms: float) -> StageWork:
+def _after_elapsed(work: StageWork, elapsed_ms: float) -> StageWork:
     return attrs.evolve(
         work,
-        needed_in_ms=work.needed_in_ms - passed_ms,
-        ends_in_ms=work.ends_in_ms - passed_ms,
+        objective_in_ms=work.objective_in_ms - elapsed_ms,
+        deadline_in_ms=work.deadline_in_ms - elapsed_ms,
     )
 
 
-def _no_service(work: StageWork) -> Failure:
+def _unknown_service_failure(work: StageWork) -> Failure:
     return Failure(
         kind=FailureKind.NO_BACKEND_SERVER,
         detail=f"the stage service {work.service} is not configured",
--- a/cactusdyke/serving/dispatch_messages.py
+++ b/cactusdyke/serving/dispatch_messages.py
@@ -1,4 +1,4 @@
-"""What daemons say to each other of stages and placements, as JSON."""
+"""JSON messages between daemons about stage work and engine placement."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @attrs.frozen(kw_only=True)
 class StageInputs:
-    """Results of one service that only the pieces they go with still need."""
+    """Results of one service that no other pieces need."""
 
     service: str
     handles: tuple[str, ...]
 
 
 @attrs.frozen(kw_only=True)
-class StageMade:
-    """What became of work.
+class StageOutcome:
+    """The results of computing the pieces of a stage.
 
     Attributes:
-        handles: The results, in the order of the pieces; empty where a piece
-            has none since its inputs are gone.
-        inputs_freed: Whether the inputs that went with it were freed.
+        handles: Handles of the results, in the order of the pieces; an empty
+            string for a piece whose inputs no longer exist.
+        inputs_freed: Whether the inputs in `StageWork.last_use_of` were freed.
     """
 
     handles: tuple[str, ...]
@@ -34,7 +34,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every piece has its result."""
+        """Whether every piece has a result."""
         return all(self.handles)
 
 
@@ -43,50 +43,54 @@
     """The pieces of one stage of one request.
 
     Attributes:
-        service: The stage's service.
-        name: Names the work among all.
-        pieces: The pieces.
-        needed_in_ms: Until when results are of full value.
-        ends_in_ms: Until when they are of any.
-        priority: The request's rank, 0 first.
-        result_bytes: About how large one result is.
-        may_refuse: Whether it may be refused at once for want of time.
-        moved_bytes: What each piece moves that is made elsewhere than its
-            inputs lie, or its result is fetched.
-        data_centre: Where the results are likely to be fetched, for pieces
-            without inputs.
+        service: Service that computes the stage.
+        name: Identifies the work across all daemons.
+        pieces: The pieces to compute.
+        objective_in_ms: Time left until the objective; results have their full
+            value until then.
+        deadline_in_ms: Time left until the deadline; results have no value
+            after it.
+        priority: Priority of the request; 0 is the highest.
+        result_bytes: Approximate size of one result.
+        may_refuse: Whether the work may be refused at once if too little time
+            is left for it.
+        transfer_bytes: Bytes transferred between data centres for each piece
+            that is computed in another data centre than that of its inputs or
+            of the consumer of its result.
+        data_centre: Data centre that is likely to fetch the results, for
+            pieces without inputs.
         last_use_of: Inputs to free as soon as the pieces have fetched them.
-        again: Whether it was made before for the request, whose later stages
-            have results that wait for it.
+        repeated: Whether the work was already done once for the request, and
+            results of its later stages wait for it.
     """
 
     service: str
     name: str
     pieces: tuple[Piece, ...]
-    needed_in_ms: float
-    ends_in_ms: float
+    objective_in_ms: float
+    deadline_in_ms: float
     priority: int
     result_bytes: float
     may_refuse: bool
-    moved_bytes: float = 0.0
+    transfer_bytes: float = 0.0
     data_centre: str = ""
     last_use_of: tuple[StageInputs, ...] = ()
-    again: bool = False
+    repeated: bool = False
 
 
-def work_to(work: StageWork) -> dict[str, Any]:
-    """Returns work as it travels."""
+def encode_work(work: StageWork) -> dict[str, Any]:
+    """Encodes work as a JSON object."""
     return {
         "service": work.service,
         "name": work.name,
-        "needed_in_ms": round(work.needed_in_ms),
-        "ends_in_ms": round(work.ends_in_ms),
+        "needed_in_ms": round(work.objective_in_ms),
+        "ends_in_ms": round(work.deadline_in_ms),
         "priority": work.priority,
         "result_bytes": work.result_bytes,
         "may_refuse": work.may_refuse,
-        "moved_bytes": work.moved_bytes,
+        "moved_bytes": work.transfer_bytes,
         "data_centre": work.data_centre,
-        "again": work.again,
+        "again": work.repeated,
         "last_use_of": [[i.service, list(i.handles)] for i in work.last_use_of],
         "pieces": [
             [p.request_id, p.stage, p.number, p.key, list(p.inputs)]
@@ -95,23 +99,23 @@
     }
 
 
-def work_from(body: dict[str, Any]) -> StageWork:
-    """Reads work.
+def decode_work(body: dict[str, Any]) -> StageWork:
+    """Decodes work.
 
     Raises:
-        KeyError, TypeError, ValueError: The message is of no known form.
+        KeyError, TypeError, ValueError: The message is malformed.
     """
     return StageWork(
         service=body["service"],
         name=body["name"],
-        needed_in_ms=float(body["needed_in_ms"]),
-        ends_in_ms=float(body["ends_in_ms"]),
+        objective_in_ms=float(body["needed_in_ms"]),
+        deadline_in_ms=float(body["ends_in_ms"]),
         priority=int(body["priority"]),
         result_bytes=float(body["result_bytes"]),
         may_refuse=bool(body["may_refuse"]),
-        moved_bytes=float(body["moved_bytes"]),
+        transfer_bytes=float(body["moved_bytes"]),
         data_centre=str(body["data_centre"]),
-        again=bool(body["again"]),
+        repeated=bool(body["again"]),
         last_use_of=tuple(
             StageInputs(service=str(service), handles=tuple(handles))
             for service, handles in body["last_use_of"]
@@ -129,8 +133,8 @@
     )
 
 
-def generation_to(generation: Generation) -> list[Any]:
-    """Returns what a request asks of an engine, as it travels."""
+def encode_generation(generation: Generation) -> list[Any]:
+    """Encodes the parameters of a generation as a JSON array."""
     return [
         generation.model,
         generation.prompt_tokens,
@@ -139,11 +143,11 @@
     ]
 
 
-def generation_from(value: list[Any]) -> Generation:
-    """Reads what a request asks of an engine.
+def decode_generation(value: list[Any]) -> Generation:
+    """Decodes the parameters of a generation.
 
     Raises:
-        TypeError, ValueError: The value is of no known form.
+        TypeError, ValueError: The value is malformed.
     """
     model, prompt_tokens, output_tokens, parts = value
     return Generation(
@@ -156,13 +160,13 @@
     )
 
 
-def failure_to(failure: Failure) -> list[Any]:
-    """Returns a failure as it travels."""
+def encode_failure(failure: Failure) -> list[Any]:
+    """Encodes a failure as a JSON array."""
     return [failure.kind.code, failure.detail, failure.retry_after_ms]
 
 
-def failure_from(value: list[Any]) -> Failure:
-    """Reads a failure."""
+def decode_failure(value: list[Any]) -> Failure:
+    """Decodes a failure."""
     code, detail, retry_after_ms = value
     return Failure(
         kind=FailureKind[str(code).upper()],
@@ -171,17 +175,17 @@
     )
 
 
-def unreadable(error: Exception) -> Failure:
-    """Returns the failure of a message that can't be read."""
+def malformed_message_failure(error: Exception) -> Failure:
+    """Returns the failure for a message that cannot be decoded."""
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        detail=f"The message can't be read: {error!r}",
+        detail=f"The message is malformed: {error!r}",
     )
 
 
-def cancelled(work: StageWork) -> Failure:
-    """Returns the failure of work that was given up before it was begun."""
+def cancelled_failure(work: StageWork) -> Failure:
+    """Returns the failure for work that was cancelled before it started."""
     return Failure(
         kind=FailureKind.NO_BACKEND_SERVER,
-        detail=f"{work.name} was given up, or {work.service} is not known here",
+        detail=f"{work.name} was cancelled or {work.service} is not configured",
     )
--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -37,7 +37,7 @@
     from cactusdyke.serving.attempt import Attempts
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
-    from cactusdyke.serving.dispatch import Dispatch, Placed
+    from cactusdyke.serving.dispatch import ChosenEngine, Dispatch
     from cactusdyke.serving.health import ReplicaHealth
     from cactusdyke.serving.measures import ServingMetrics
     from cactusdyke.serving.model import Customer, Replica, Route
@@ -150,7 +150,7 @@
     def _admit(self, request: ClientRequest) -> Result[ServingContext, Failure]:
         """Finds the route and the customer of a request."""
         configuration = self._deployment.configuration
-        if configuration is None or not self._quarantine.informed:
+        if configuration is None or not self._quarantine.loaded:
             return Err(
                 Failure(
                     kind=FailureKind.UNCONFIRMED,
@@ -320,7 +320,7 @@
         results: StageResults,
         handles: list[str],
     ) -> tuple[Failure | None, AttemptResult | None]:
-        placed: Placed | None = None
+        placed: ChosenEngine | None = None
         generation = context.request.generation
         inputs = self._stages.inputs_by_data_centre(context, results)
         placement_id = f"{context.request.request_id}/{context.attempts}"
@@ -353,7 +353,7 @@
 
         def on_first() -> None:
             if placed is not None:
-                self._dispatch.started(placed)
+                self._dispatch.notify_first_token(placed)
             self._stages.free(context, results)
 
         try:
@@ -381,7 +381,7 @@
         finally:
             self._health.ended(replica.name)
             if placed is not None:
-                self._dispatch.ended(placed, failed=not ended_well)
+                self._dispatch.notify_end(placed, failed=not ended_well)
 
     async def _free_when_fetched(
         self, context: ServingContext, results: StageResults
@@ -453,9 +453,9 @@
         if verdict is not None and verdict.load is not None:
             self._health.load_told(replica.name, verdict.load)
         if result.broken:
-            self._quarantine.attempt_broke(context, replica)
+            self._quarantine.on_attempt_broken(context, replica)
         elif result.ran_to_its_end:
-            self._quarantine.served(context)
+            self._quarantine.on_served(context)
         if result.wrong_replica:
             self._deployment.mark_gone(
                 replica, reason="another has its address"
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -16,10 +16,10 @@
 from cactusdyke.serving import balance
 from cactusdyke.serving.batcher import StageBatcher
 from cactusdyke.serving.connection_share import ConnectionShare
-from cactusdyke.serving.deciders import Deciders
+from cactusdyke.serving.decider_directory import DeciderDirectory
 from cactusdyke.serving.deployment import Deployment
 from cactusdyke.serving.dialect import Piece
-from cactusdyke.serving.dispatch_messages import StageMade
+from cactusdyke.serving.dispatch_messages import StageOutcome
 from cactusdyke.serving.health import ReplicaHealth
 from cactusdyke.serving.model import (
     BatchSpec,
@@ -214,7 +214,7 @@
     assert not context.deployment.may_use(context.first)
 
 
-@then("it may be used again once the list tells of a new start under its id")
+@then("it may be used again once the list shows a new start under its id")
 def check_reborn(context):
     context.deployment.put_replica(replica("r1", born=9))
     names = {r.name for r in context.deployment.usable("plain")}
@@ -260,7 +260,7 @@
     assert context.excess <= 0, context.excess
 
 
-@then("daemons that ignore the others break it")
+@then("daemons that ignore the others exceed it")
 def check_naive_retries(context):
     assert context.naive_excess > 0, context.naive_excess
 
@@ -336,11 +336,11 @@
         )
         context.places[subject].add(chosen.name)
         clock.ms += 60.0
-        placer.started(str(number))
-        placer.ended(str(number), failed=False)
+        placer.record_first_token(str(number))
+        placer.record_end(str(number), failed=False)
 
 
-@then("each subject's part is read by one engine, few by two")
+@then("each subject's part is prefilled by one engine, few by two")
 def check_subjects(context):
     reads = [len(names) for names in context.places.values()]
     assert sum(reads) <= 30 + 3, reads
@@ -388,7 +388,7 @@
             str(number), prompt(7, request=number), engines(5), ENGINE
         )
         context.failing = chosen.name
-        placer.ended(str(number), failed=True)
+        placer.record_end(str(number), failed=True)
         if number == 0:
             context.first_failing = chosen.name
     context.after = [
@@ -404,7 +404,7 @@
     assert context.first_failing not in context.after, context.after
 
 
-@when("two placers that know nothing place 40 subjects")
+@when("two placers without state place 40 subjects")
 def two_placers(context):
     context.same = 0
     for subject in range(40):
@@ -415,8 +415,8 @@
             chosen.append(
                 placer.place("y", prompt(subject), engines(5), ENGINE).name
             )
-        homes = EnginePlacer(clock=HandClock())
-        alone = homes.place("z", prompt(subject), engines(5), ENGINE).name
+        fresh = EnginePlacer(clock=HandClock())
+        alone = fresh.place("z", prompt(subject), engines(5), ENGINE).name
         context.same += chosen[0] == chosen[1] == alone
 
 
@@ -434,13 +434,13 @@
         placer.place(
             str(subject), prompt(subject, shared=20_000), engines(1), ENGINE
         )
-        placer.ended(str(subject), failed=False)
-    context.believed = placer._engines["e0"].cached_tokens
+        placer.record_end(str(subject), failed=False)
+    context.counted = placer._engines["e0"].cached_tokens
 
 
-@then("the placer believes in no more than the engine's memory")
+@then("the placer counts no more cached tokens than the engine can store")
 def check_filled(context):
-    assert 0 < context.believed <= ENGINE.kv_tokens, context.believed
+    assert 0 < context.counted <= ENGINE.kv_tokens, context.counted
 
 
 class ThreeDaemons(PeerDaemons):
@@ -451,15 +451,15 @@
             PeerDaemon(
                 name=name,
                 address=f"{name}:1",
-                front_address="",
+                public_address="",
                 data_centre="here",
                 ready=True,
-                own=name == "d1",
+                is_local=name == "d1",
             )
             for name in ("d1", "d2", "d3")
         )
 
-    def believed_count(self):
+    def estimated_count(self):
         return 3
 
 
@@ -467,37 +467,39 @@
 def three_daemons(context):
     context.clock = HandClock()
     context.watch = PeerWatch(clock=context.clock, network=None)
-    context.deciders = Deciders(
+    context.deciders = DeciderDirectory(
         clock=context.clock, daemons=ThreeDaemons(), watch=context.watch
     )
-    context.usual = context.deciders.first("service").name
+    context.usual = context.deciders.decider_of("service").name
 
 
-@when("it says that another one decides by now")
-def says_moved(context):
+@when("it redirects to another one")
+def redirects(context):
     context.other = "d3" if context.usual == "d2" else "d2"
-    context.deciders.take_moved(
+    context.deciders.apply_redirect(
         "service", [context.other, f"{context.other}:1", "here"]
     )
 
 
-@then("that one is asked, until gossip has had its time")
-def check_moved(context):
-    assert context.deciders.first("service").name == context.other
-    assert context.deciders.by_members("service").name == context.usual
+@then("that one is called until the redirect expires")
+def check_redirected(context):
+    assert context.deciders.decider_of("service").name == context.other
+    assert (
+        context.deciders.decider_by_membership("service").name == context.usual
+    )
     context.clock.ms += 1_600.0
-    assert context.deciders.first("service").name == context.usual
+    assert context.deciders.decider_of("service").name == context.usual
 
 
 @then("not if it is silent, and not if it is this daemon itself")
-def check_not_moved(context):
-    says_moved(context)
-    peer = context.deciders.first("service")
+def check_not_redirected(context):
+    redirects(context)
+    peer = context.deciders.decider_of("service")
     context.watch.mark_silent(peer, detail="test")
-    assert context.deciders.first("service").name != context.other
-    context.deciders.take_moved("service", ["d1", "d1:1", "here"])
-    by_members = context.deciders.by_members("service").name
-    assert context.deciders.first("service").name == by_members
+    assert context.deciders.decider_of("service").name != context.other
+    context.deciders.apply_redirect("service", ["d1", "d1:1", "here"])
+    by_members = context.deciders.decider_by_membership("service").name
+    assert context.deciders.decider_of("service").name == by_members
 
 
 class KnownBacklogs:
@@ -512,10 +514,10 @@
         ms = self._backlogs_ms.get(service, 0.0)
         return Backlog(hopeful_ms=0.0, all_ms=ms)
 
-    async def make(self, work):
+    async def compute_stage(self, work):
         self.made.append(work.service)
         handles = tuple(f"{work.service}/{p.number}" for p in work.pieces)
-        return Ok(StageMade(handles=handles))
+        return Ok(StageOutcome(handles=handles))
 
     def free(self, service, handles):
         self.freed += handles
@@ -583,7 +585,7 @@
     run_virtual(run)
 
 
-@then("they belong here")
+@then("they are assigned to the data centre of the two")
 def check_belong(context):
     assert context.group.data_centre == "here"
 
@@ -621,7 +623,7 @@
     return run_virtual(context.runner.run, request, results)
 
 
-@then("the first is refused unrun with a time to come back, and begins nothing")
+@then("the first is refused as not run with a retry time, and starts no stage")
 def check_refused_at_arrival(context):
     failure = context.refused.unwrap_err()
     assert failure.kind is FailureKind.OVERLOADED
@@ -630,7 +632,7 @@
     assert context.begun == []
 
 
-@then("the second is made")
+@then("the second one's results are computed")
 def check_second_made(context):
     assert context.served.unwrap() == ["narrow/0", "narrow/1"]
 
