--- a/cactusdyke/serving/dialect.py
+++ b/cactusdyke/serving/dialect.py
@@ -1,4 +1,4 @@
-"""What the core asks of an adapter to callers and to backend servers."""
+"""Interface of the adapter that speaks to callers and backend servers."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
 
 
 class AnswerKind(enum.Enum):
-    """What the head of an answer says of the attempt."""
+    """The result of an attempt according to the head of the answer."""
 
     ANSWER = "answer"
-    """The replica ran the request, or runs it; the answer is its own."""
+    """The replica ran the request or is running it; the answer is its own."""
     REFUSED = "refused"
-    """The replica says that it did not run it."""
+    """The replica states that it did not run the request."""
     WRONG_REPLICA = "wrong_replica"
-    """Another replica has the address; it did not run."""
+    """Another replica has the address now; the request did not run."""
     INPUTS_GONE = "inputs_gone"
-    """A stage's result is gone; it did not run."""
+    """A stage's result no longer exists; the request did not run."""
     FOREIGN = "foreign"
     """The answer belongs to another request, or to none."""
 
 
 @attrs.frozen(kw_only=True)
 class ReplicaLoad:
-    """What a replica says of its load in an answer."""
+    """The load that a replica reports in an answer, in requests."""
 
     running: int
     queued: int
@@ -58,14 +58,14 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerVerdict:
-    """The head of an answer, understood.
+    """The decoded head of an answer.
 
     Attributes:
-        kind: What it says of the attempt.
+        kind: The result of the attempt.
         status: The HTTP status.
-        headers: What is passed on to the caller.
-        events: Whether the body is a series of events.
-        load: The replica's load, if told.
+        headers: The headers to forward to the caller.
+        is_event_stream: Whether the body is a stream of events.
+        load: The replica's load, None if it is not reported.
     """
 
     kind: AnswerKind
@@ -76,7 +76,7 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether it is a success of the replica's own."""
+        """Whether the replica itself answered with a success status."""
         return self.kind is AnswerKind.ANSWER and 200 <= self.status < 300
 
 
@@ -86,7 +86,7 @@
 
     Attributes:
         number: Its id, None if it has none.
-        data: Its bytes, with the empty line that ends it.
+        data: Its bytes, including the empty line that terminates it.
     """
 
     number: int | None
@@ -94,16 +94,16 @@
 
 
 class EventReader(abc.ABC):
-    """Cuts a body into events."""
+    """Splits a body into events."""
 
     @abc.abstractmethod
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Takes bytes and returns the events that they complete."""
+        """Appends bytes and returns the events that they complete."""
 
     @property
     @abc.abstractmethod
     def remainder(self) -> bytes:
-        """What was fed behind the last whole event."""
+        """The bytes after the last complete event."""
 
 
 @attrs.frozen(kw_only=True)
@@ -114,8 +114,8 @@
         request_id: The request that needs it.
         stage: The stage's number in the request's route.
         number: The piece's number in the stage.
-        key: Names the content, for stages without inputs.
-        inputs: Handles of the results that it works on.
+        key: Identifies the content, for stages without inputs.
+        inputs: Handles of the results that it takes as inputs.
     """
 
     request_id: str
@@ -126,7 +126,7 @@
 
     @property
     def name(self) -> str:
-        """Names the piece among all pieces."""
+        """Name that is unique among the pieces of all requests."""
         return f"{self.request_id}/{self.stage}/{self.number}"
 
 
@@ -141,7 +141,7 @@
 
 @attrs.frozen(kw_only=True)
 class PieceResult:
-    """How one piece ended: with a handle, or with a failure."""
+    """The outcome of one piece: either a result's handle or a failure."""
 
     handle: str = ""
     failure: PieceFailure | None = None
@@ -149,11 +149,13 @@
 
 @attrs.frozen(kw_only=True)
 class MemoryReport:
-    """A replica's word of the memory that it had left lately, in bytes.
+    """A replica's recent free memory, in bytes.
+
+    The reported value may be rounded, so it is a range.
 
     Attributes:
-        at_least: So much was free.
-        at_most: Not more than so much was; its word may be rounded.
+        min_free_bytes: Lower bound of the free memory.
+        max_free_bytes: Upper bound of the free memory.
     """
 
     min_free_bytes: float
@@ -161,19 +163,19 @@
 
 
 class Dialect(abc.ABC):
-    """Encodes and decodes what is said to callers and backend servers."""
+    """Encodes and decodes messages of callers and backend servers."""
 
     @abc.abstractmethod
     def decode_request(
         self, request: ReadRequest
     ) -> Result[ClientRequest, Failure]:
-        """Returns a caller's request as the core knows it."""
+        """Decodes a caller's request."""
 
     @abc.abstractmethod
     def encode_failure(
         self, failure: Failure, request_id: str
     ) -> tuple[int, Headers, bytes]:
-        """Returns status, headers and body that tell a caller of a failure."""
+        """Returns status, headers and body of the answer for a failure."""
 
     @abc.abstractmethod
     def encode_attempt(
@@ -185,13 +187,22 @@
         handles: Sequence[str],
         resume_after: int | None,
     ) -> EncodedCall:
-        """Returns the request to send to a replica."""
+        """Returns the request to send to a replica.
+
+        Args:
+            context: The caller's request.
+            replica: The replica that it goes to.
+            remaining_ms: How long the caller still waits.
+            handles: Handles of the stages' results.
+            resume_after: Number of the last event that the caller has
+                received, None for a new stream.
+        """
 
     @abc.abstractmethod
     def decode_answer(
         self, context: ServingContext, head: AnswerHead
     ) -> AnswerVerdict:
-        """Returns what the head of an answer says."""
+        """Decodes the head of an answer."""
 
     @abc.abstractmethod
     def event_reader(self) -> EventReader:
@@ -201,13 +212,27 @@
     def encode_pieces(
         self, replica: Replica, pieces: Sequence[tuple[Piece, float]]
     ) -> EncodedCall:
-        """Returns a call for pieces, each with its remaining milliseconds."""
+        """Returns a call that computes pieces.
+
+        Args:
+            replica: The stage replica that is called.
+            pieces: The pieces, each with the milliseconds that it has left.
+        """
 
     @abc.abstractmethod
     def decode_pieces(
         self, head: AnswerHead, body: bytes, count: int
     ) -> list[PieceResult] | None:
-        """Returns the results in order, None if the call was refused."""
+        """Decodes the answer to a call for pieces.
+
+        Args:
+            head: The head of the answer.
+            body: The body of the answer.
+            count: Number of pieces in the call.
+
+        Returns:
+            Their results in order, None if the call was refused.
+        """
 
     @abc.abstractmethod
     def encode_free(self, address: str, handles: Sequence[str]) -> EncodedCall:
@@ -215,15 +240,15 @@
 
     @abc.abstractmethod
     def encode_memory_query(self, replica: Replica) -> EncodedCall:
-        """Returns a call that asks a stage replica for its free memory."""
+        """Returns a call that queries a stage replica's free memory."""
 
     @abc.abstractmethod
     def decode_memory_report(
         self, head: AnswerHead, body: bytes
     ) -> MemoryReport | None:
-        """Returns a replica's free memory, None if it is not told.
+        """Returns a replica's free memory, None if it is not reported.
 
-        It is as of some hundred milliseconds ago.
+        The value is some hundred milliseconds old.
         """
 
     @abc.abstractmethod
--- a/cactusdyke/serving/model.py
+++ b/cactusdyke/serving/model.py
@@ -1,6 +1,6 @@
-"""What a deployment serves: routes, services, customers and replicas.
+"""Model of a deployment: routes, services, customers and replicas.
 
-These are the project's own notions; an adapter decodes a platform's
+The classes do not depend on a platform; an adapter decodes a platform's
 configuration and its list of replicas into them.
 """
 
@@ -17,7 +17,7 @@
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
     RESUMABLE = "resumable"
-    """A stream that may go on at another replica from its last event."""
+    """A stream that another replica may resume after its last event."""
 
 
 @attrs.frozen(kw_only=True)
@@ -27,7 +27,7 @@
     Attributes:
         service: Name of the service that runs the stage.
         after: Numbers of the stages whose results are its inputs.
-        result_bytes: About how large one result is.
+        result_bytes: Typical size of one result.
     """
 
     service: str
@@ -45,24 +45,26 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they need.
+    """How requests of one host and path prefix are served.
 
     Attributes:
         name: The route's name.
-        host: The host that callers name.
+        host: The host that callers address.
         path_prefix: Begins and ends with a slash.
         targets: The services that share the traffic.
-        repeat: How often a request may run.
-        streaming: Whether the answer is a series of events.
-        max_attempts: Most replicas that one request may be sent to.
-        timeout_ms: Longest time that a caller is kept waiting.
+        repeat_policy: How often a request may run.
+        streaming: Whether the answer is a stream of events.
+        max_attempts: Maximum number of replicas that a request is sent to, and
+            of attempts that may have run it.
+        timeout_ms: Maximum time that a caller is kept waiting.
         objective_ms: Latency within which an answer has its full value.
-        gap_objective_ms: Longest pause between events that is on time.
+        gap_objective_ms: Maximum time between two events that is on time.
         first_event_patience_ms: How long callers wait for a stream's first
-            event before they give it up.
+            event before they abandon it.
         priority: 0 is the most urgent.
-        public: Whether no API key is asked for.
-        generates: Whether requests name a model and their prompt.
+        public: Whether requests need no API key.
+        generates: Whether requests state a model and a prompt, so that a
+            decider chooses their engine.
         stages: The graph of stages, by number.
     """
 
@@ -85,11 +87,11 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSpec:
-    """What one replica of a model service can hold.
+    """Capacity of one replica of a model service.
 
     Attributes:
-        slots: Requests that it batches.
-        kv_tokens: Tokens that its KV cache holds.
+        slots: Number of requests that it runs in one batch.
+        kv_tokens: Capacity of its KV cache in tokens.
     """
 
     slots: int
@@ -98,16 +100,16 @@
 
 @attrs.frozen(kw_only=True)
 class BatchSpec:
-    """How a replica of a stage service takes calls.
+    """Capacity and timing of one replica of a stage service.
 
     Attributes:
-        concurrent_calls: Calls in progress at the same time.
-        waiting_calls: Calls that may wait.
-        batch: Most pieces in one call.
-        call_ms: Time of a call without its pieces.
-        piece_ms: About the time that each piece adds.
-        result_room_bytes: Memory for results that were not freed.
-        result_lifetime_ms: How long a result is kept if nobody frees it.
+        concurrent_calls: Number of calls that it processes at the same time.
+        queued_calls: Number of further calls that it queues.
+        batch: Maximum number of pieces in one call.
+        call_ms: Fixed time of a call, without its pieces.
+        piece_ms: Typical time that each piece adds to a call.
+        result_capacity_bytes: Memory for results that have not been freed.
+        result_lifetime_ms: After how long a result expires that is not freed.
     """
 
     concurrent_calls: int
@@ -141,7 +143,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size of callers' requests and on the time to send them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -151,14 +153,14 @@
 
 @attrs.frozen(kw_only=True)
 class ServingConfiguration:
-    """One whole version of what is served.
+    """One complete version of the serving configuration.
 
     Attributes:
-        version: Grows with every version, in uneven steps.
+        version: Increases with every version, not always by one.
         routes: All routes.
         services: Services by name.
-        customers: Customers by name; where there are none, no key is asked.
-        limits: Bounds on callers.
+        customers: All customers; without any, no API key is required.
+        limits: Limits on callers' requests.
     """
 
     version: int
@@ -169,7 +171,7 @@
 
 
 class ReplicaState(enum.StrEnum):
-    """What a replica says of itself."""
+    """The state that a replica reports."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -180,13 +182,13 @@
     """One running incarnation of a backend server of a service.
 
     Attributes:
-        name: Its id; a new start mostly has a new one.
+        name: Its id; a restarted server usually gets a new one.
         service: The service that it belongs to.
         address: `ip:port`.
-        data_centre: Where it stands.
-        state: Whether it takes new work.
-        slots: Requests that it works on at the same time.
-        born: Start of the incarnation, Unix milliseconds, 0 if not told.
+        data_centre: The data centre that it runs in.
+        state: Whether it accepts new work.
+        slots: Number of requests that it processes at the same time.
+        born: Start of the incarnation, Unix milliseconds, 0 if not reported.
     """
 
     name: str
--- a/cactusdyke/serving/request.py
+++ b/cactusdyke/serving/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the core knows it: typed, with an opaque payload."""
+"""A caller's request, decoded, with an opaque payload, and its progress."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """One part of a prompt, which other requests may share.
 
     Attributes:
-        name: Names the part's content.
-        tokens: Its length.
+        name: Identifies the part's content.
+        tokens: Its length in tokens.
     """
 
     name: str
@@ -27,13 +27,14 @@
 
 @attrs.frozen(kw_only=True)
 class Generation:
-    """What a request asks of a model engine.
+    """The text generation that a request wants from a model engine.
 
     Attributes:
         model: The model's name.
-        prompt_tokens: Tokens to read.
-        output_tokens: Most tokens to generate.
-        parts: The parts of the prompt in order; the last is its own.
+        prompt_tokens: Length of the prompt.
+        output_tokens: Maximum number of tokens to generate.
+        parts: The parts of the prompt in order; the last one is not shared
+            with other requests.
     """
 
     model: str
@@ -44,22 +45,22 @@
 
 @attrs.frozen(kw_only=True)
 class ClientRequest:
-    """One request, read whole.
+    """One complete request of a caller.
 
     Attributes:
-        request_id: The caller's id of this attempt, unique to it.
+        request_id: The caller's id of this attempt; a repetition has another.
         method: The HTTP method.
-        host: The host that the caller named.
+        host: The host that the caller addressed.
         target: Path and query as sent.
         path: The path without the query.
-        headers: What is passed on, as (name, value).
+        headers: The headers to forward, as (name, value).
         body: The payload, opaque.
         api_key: The caller's key, empty if none was sent.
-        patience_ms: How long the caller said that it waits, if it did.
-        generation: What it asks of a model engine, if it does.
-        piece_counts: Pieces of each stage.
-        piece_key: Names the content that the first stages work on.
-        resume_after: Number of the last event that the caller has.
+        patience_ms: How long the caller waits, None if it did not state it.
+        generation: The generation that it wants, None if it needs no engine.
+        piece_counts: Number of pieces of each stage.
+        piece_key: Identifies the content that stages without inputs process.
+        resume_after: Number of the last event that the caller has received.
         arrived_at: Instant at which the head was read.
     """
 
@@ -81,36 +82,41 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ServingContext:
-    """One request under way.
+    """The state of one request in progress.
 
     Attributes:
         request: The request.
-        route: The route that it matched, for its whole life.
-        service: The service that it goes to.
-        customer: Whose key it carried, if keys are asked for.
-        priority: Its rank, 0 first.
-        ends_at: Instant at which the caller gets its last answer.
-        first_by: Instant by which a stream must have begun; its caller gives
-            it up then.
-        caller_until: Instant until which the caller waits.
-        objective_at: Instant by which an answer has its full value; past for
-            a caller that has been trying for longer.
-        waited_ms: About how long the caller had been trying before.
-        ran: What is true of all attempts that have ended.
-        asking: Name of the replica that an attempt is under way at, empty
-            between attempts; what it does is unknown.
-        sent_to: Names of the replicas that were sent the request.
-        failed_at: Names of those where it did not succeed.
-        attempts: Attempts made.
-        runs: Attempts that ran or may have run.
+        route: The route that it matched; a new configuration does not change
+            it.
+        service: The service that serves it.
+        customer: The customer that its API key belongs to, None if it sent no
+            known key.
+        priority: Its effective priority; 0 goes first.
+        deadline_at: Instant at which the request times out, also in the middle
+            of a stream.
+        start_deadline_at: Instant by which a stream must have begun; its caller
+            abandons it then.
+        caller_waits_until: Instant until which the caller waits.
+        objective_at: Instant by which an answer has its full value; in the
+            past for a caller that has retried for longer than that.
+        waited_ms: Estimate of how long the caller had been waiting before this
+            daemon received the request.
+        ran: Whether it ran, as far as known from all finished attempts.
+        current_replica: Name of the replica that the current attempt is sent
+            to, empty between attempts. Whether the request runs there is
+            unknown.
+        sent_to: Names of the replicas that the request was sent to.
+        failed_replicas: Names of those where it did not succeed.
+        attempts: Number of attempts started.
+        possible_runs: Number of attempts that ran or may have run.
         stages_ms: How long its stages took, over all attempts.
-        stage_ms: How long each stage took, by its number; a stage that was
-            made again counts with both.
-        pending_stages: Numbers of the stages that are being made.
-        results_made: Results that were made for it, by stage.
-        engine_asked_at: When its last attempt began.
-        crossed_bytes: About what engines fetched for it from other data
-            centres.
+        stage_ms: How long each stage took, by its number; times of a stage
+            that was run again add up.
+        pending_stages: Numbers of the stages that are running.
+        results_computed: Number of results computed for it, by stage.
+        attempt_started_at: When its last attempt began.
+        transferred_bytes: Estimate of the bytes that engines fetched for it
+            from other data centres.
     """
 
     request: ClientRequest
@@ -138,7 +144,7 @@
 
     @functools.cached_property
     def digest(self) -> str:
-        """Names what is asked, and by whom, the same for each repetition."""
+        """Hash of the request and its customer, equal for each repetition."""
         request = self.request
         customer = self.customer.name if self.customer else ""
         hashed = xxhash.xxh3_128(request.body)
@@ -148,12 +154,15 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt ran or may have run, or may run yet."""
+        """Whether any attempt ran or may have run, or may still run."""
         return bool(self.current_replica) or self.ran is not Ran.NOT_RUN
 
     @property
     def waiting_for(self) -> list[str]:
-        """The replica that is asked, or the services that make its stages."""
+        """The replica of the current attempt, or its running stages' services.
+
+        For log events; names, in the order of the stages.
+        """
         if self.current_replica:
             return [self.current_replica]
         stages = self.route.stages
@@ -162,22 +171,22 @@
         ]
 
     def remaining_ms(self, clock: Clock) -> float:
-        """Returns how long the caller still waits, never negative."""
+        """Returns how long the caller still waits; never negative."""
         return max(0.0, self.caller_waits_until - clock.now())
 
-    def record_stage(self, number: int, took_ms: float, made: int) -> None:
-        """Notes how long a stage took and how many results it brought."""
+    def record_stage(self, number: int, took_ms: float, computed: int) -> None:
+        """Records how long a stage took and how many results it computed."""
         self.pending_stages.discard(number)
         self.stage_ms[number] = self.stage_ms.get(number, 0.0) + took_ms
         self.results_computed[number] = (
-            self.results_computed.get(number, 0) + made
+            self.results_computed.get(number, 0) + computed
         )
 
     def record_outcome(self, ran: Ran) -> None:
-        """Notes how one attempt ended; the worst of all stays.
+        """Records whether an attempt ran; the worst case of all is kept.
 
-        The last attempt may not have run while an earlier one did. Its own
-        word would be a false "not run" to the caller.
+        If an earlier attempt ran and the last one did not, reporting the last
+        one alone would tell the caller a wrong "not run".
         """
         if self.ran is Ran.RAN or ran is Ran.NOT_RUN:
             return
--- a/cactusdyke/serving/stages.py
+++ b/cactusdyke/serving/stages.py
@@ -1,4 +1,4 @@
-"""Runs the graph of stages that a request needs before it can run."""
+"""Runs the graph of stages whose results a request needs as inputs."""
 
 from __future__ import annotations
 
@@ -26,69 +26,75 @@
     from cactusdyke.serving.model import StageSpec
     from cactusdyke.serving.request import ServingContext
 
-LEAST_RETRY_AFTER_MS = 200
-"""About a call: sooner there is no room for what found none."""
-MOST_RETRY_AFTER_MS = 3_000.0
+MIN_RETRY_AFTER_MS = 200
+"""About the time of one call; a piece refused for lack of memory finds none
+free any sooner."""
+MAX_RETRY_AFTER_MS = 3_000.0
 LATE_HOLD_MS = 2_500.0
-"""How long a late request is held back before it is refused: the queues after
-a loss of all daemons were worked off in two seconds."""
+"""How long a late request is held back before it is refused. The queues that
+build up while all daemons are lost take about two seconds to drain."""
 LATE_BACKLOG_MS = 800.0
-"""Two to three calls: with less behind, its results are used soon."""
-LOOK_EVERY_MS = 120.0
-REMAKES = 2
-"""How often lost inputs are made again for one request."""
+"""The time of two to three calls. With a shorter backlog the results of a late
+request are used soon after they are computed."""
+CHECK_INTERVAL_MS = 120.0
+MAX_RECOMPUTATIONS = 2
+"""How often lost inputs are recomputed for one request."""
 ANSWER_MARGIN_MS = 60.0
-"""From the last stage's result to the first token, without the prompt."""
+"""Time from the last stage's result to the first token, without the prefill."""
 BRANCH_MARGIN = 1.6
-MS_PER_TOKEN = 0.02
+"""A shorter branch starts early enough to take this many times its usual time
+and still end with the longest one; the surplus covers time in a queue."""
+PREFILL_MS_PER_TOKEN = 0.02
+"""Estimated prefill time of a prompt token that is in no engine's cache."""
 WAIT_FACTOR = 1.5
-"""A piece finds its replicas in the middle of a call, half a call on average.
-Pieces served just in time for a shorter way are late at the end of the real
-one, and under overload every one of them."""
-"""About what a prompt token that no engine has read costs."""
+"""A piece arrives in the middle of a replica's call and waits half a call on
+average. If the estimate leaves that wait out, pieces that are scheduled just in
+time end late, under overload every one of them."""
 
 
 class StageResults:
-    """The results that one request's stages have made so far."""
+    """The results that one request's stages have computed so far."""
 
     def __init__(self, context: ServingContext) -> None:
         self._context = context
         self._handles: dict[int, list[str]] = {}
         self.data_centre = ""
-        """Where the engine stands that is likely to fetch the results."""
+        """Data centre of the engine that is likely to fetch the results."""
         self.freed_stages: set[int] = set()
-        """Stages whose results were freed, as nothing needs them any more."""
+        """Stages whose results were freed because no other stage needs them."""
         self.partial_handles: dict[int, dict[int, str]] = {}
-        """Results by stage and piece where others' inputs were gone."""
+        """Handles by stage and piece, of stages that have only part of their
+        results because inputs of the other pieces were gone."""
 
     @property
     def handles_by_stage(self) -> dict[int, list[str]]:
-        """Handles by stage."""
+        """Handles of the results, by stage."""
         return self._handles
 
     def input_stages(self, number: int) -> list[int]:
-        """Returns the stages whose results a stage works on.
+        """Returns the stages whose results are a stage's inputs.
 
-        A stage that the request leaves out passes on what it would have
-        worked on itself.
+        A stage without pieces in this request is replaced by its own inputs.
         """
         found: list[int] = []
-        for before in self._stages[number].after:
-            present = self.piece_count(before) > 0
-            found.extend([before] if present else self.input_stages(before))
+        for predecessor in self._stages[number].after:
+            present = self.piece_count(predecessor) > 0
+            found.extend(
+                [predecessor] if present else self.input_stages(predecessor)
+            )
         return list(dict.fromkeys(found))
 
     def final_stages(self) -> list[int]:
         """Returns the stages whose results the request itself needs."""
         followed = {
-            before
+            predecessor
             for number in self.active_stages()
-            for before in self.input_stages(number)
+            for predecessor in self.input_stages(number)
         }
         return [n for n in self.active_stages() if n not in followed]
 
     def active_stages(self) -> list[int]:
-        """Returns the stages that the request has pieces of."""
+        """Returns the stages that have pieces in this request."""
         return [n for n in range(len(self._stages)) if self.piece_count(n) > 0]
 
     def piece_count(self, number: int) -> int:
@@ -102,7 +108,7 @@
 
 
 class StageRunner:
-    """Makes the inputs of requests, stages side by side where they can be."""
+    """Computes the inputs of requests, independent stages concurrently."""
 
     def __init__(
         self,
@@ -120,24 +126,28 @@
     async def run(
         self, context: ServingContext, results: StageResults
     ) -> Result[list[str], Failure]:
-        """Makes what is missing; returns the handles that the request needs."""
-        refusal = self._refusal(context, results)
+        """Runs the stages that have no results yet.
+
+        Returns:
+            The handles of the results that the request itself needs.
+        """
+        refusal = self._early_refusal(context, results)
         if refusal is None:
-            refusal = await self._wait_for_room(context, results)
+            refusal = await self._hold_back_if_late(context, results)
         if refusal is not None:
             return Err(refusal)
         results.data_centre = await self._engine_data_centre(context, results)
-        for _ in range(REMAKES):
-            answer = await self._run_missing(context, results)
-            if not _lost_inputs(answer):
+        for _ in range(MAX_RECOMPUTATIONS):
+            answer = await self._run_remaining(context, results)
+            if not _is_input_gone(answer):
                 break
             for number in tuple(results.partial_handles):
-                self._forget_inputs(context, results, number)
-            refusal = await self._wait_for_room(context, results)
+                self._discard_inputs(context, results, number)
+            refusal = await self._hold_back_if_late(context, results)
             if refusal is not None:
                 return Err(refusal)
         else:
-            answer = await self._run_missing(context, results)
+            answer = await self._run_remaining(context, results)
         if isinstance(answer, Err):
             return answer
         return Ok(
@@ -148,76 +158,85 @@
             ]
         )
 
-    def _refusal(
+    def _early_refusal(
         self, context: ServingContext, results: StageResults
     ) -> Failure | None:
-        """Refuses at once a request that would not come through in time.
+        """Returns a refusal if the request can't meet its start deadline.
 
-        Begun all the same it would take the first stages' time from others,
-        and be given up seconds later in the queue of the narrow one.
+        If it started, it would use capacity of the first stages and be
+        abandoned seconds later in the queue of the bottleneck stage.
         """
         if results.handles_by_stage:
             return None
         wait_ms = 0.0
-        way_ms = 0.0
+        total_ms = 0.0
         for number in results.active_stages():
             service = context.route.stages[number].service
             backlog = self._dispatch.backlog(service)
             wait_ms = max(wait_ms, backlog.all_ms)
-            way_ms = max(
-                way_ms,
+            total_ms = max(
+                total_ms,
                 backlog.all_ms
                 + self._stage_ms(context, results, number)
-                + self._rest_ms(context, results, number),
+                + self._ms_after(context, results, number),
             )
         left_ms = context.start_deadline_at - self._clock.now()
-        if way_ms <= left_ms:
+        if total_ms <= left_ms:
             return None
-        return self._busy(wait_ms)
+        return self._overloaded(wait_ms)
 
-    def _busy(self, wait_ms: float) -> Failure:
+    def _overloaded(self, wait_ms: float) -> Failure:
         spread = self._rng.uniform(0.7, 1.3)
         return Failure(
             kind=FailureKind.OVERLOADED,
-            detail=f"stages are busy for {wait_ms:.0f} ms, longer than the"
-            " request can wait",
-            retry_after_ms=int(min(MOST_RETRY_AFTER_MS, wait_ms * spread)),
+            detail=f"the stages have a backlog of {wait_ms:.0f} ms, longer than"
+            " the request can wait",
+            retry_after_ms=int(min(MAX_RETRY_AFTER_MS, wait_ms * spread)),
         )
 
-    async def _wait_for_room(
+    async def _hold_back_if_late(
         self, context: ServingContext, results: StageResults
     ) -> Failure | None:
-        """Holds a late request back, unbegun, while its stages are behind.
+        """Delays the start of a late request while its stages have a backlog.
+
+        If it started, its results would take replicas' memory while requests
+        that can still meet their objective go first; they would expire there
+        and have to be recomputed.
 
-        Begun, it fills the makers' memory with results that wait behind those
-        of requests that can be on time, until they expire and are made again.
+        Returns:
+            A refusal if the backlog lasts too long, else None.
         """
-        until = self._clock.now() + LATE_HOLD_MS
+        refuse_at = self._clock.now() + LATE_HOLD_MS
         while not results.handles_by_stage and self._is_late(context, results):
-            behind_ms = self._behind_ms(context, results)
-            if behind_ms <= LATE_BACKLOG_MS:
+            backlog_ms = self._backlog_ms(context, results)
+            if backlog_ms <= LATE_BACKLOG_MS:
                 return None
-            if self._clock.now() >= until:
-                return self._busy(behind_ms)
-            await self._clock.sleep(LOOK_EVERY_MS * self._rng.uniform(0.7, 1.3))
+            if self._clock.now() >= refuse_at:
+                return self._overloaded(backlog_ms)
+            await self._clock.sleep(
+                CHECK_INTERVAL_MS * self._rng.uniform(0.7, 1.3)
+            )
         return None
 
     def _is_late(self, context: ServingContext, results: StageResults) -> bool:
-        """Returns whether a request can't be on time even among the hopeful."""
-        way_ms = max(
+        """Returns whether a request will miss its objective.
+
+        Only the backlog of requests that can still meet theirs is counted.
+        """
+        total_ms = max(
             (
                 self._dispatch.backlog(
                     context.route.stages[number].service
                 ).hopeful_ms
                 + self._stage_ms(context, results, number)
-                + self._rest_ms(context, results, number)
+                + self._ms_after(context, results, number)
                 for number in results.active_stages()
             ),
             default=0.0,
         )
-        return self._clock.now() + way_ms > context.objective_at
+        return self._clock.now() + total_ms > context.objective_at
 
-    def _behind_ms(
+    def _backlog_ms(
         self, context: ServingContext, results: StageResults
     ) -> float:
         return max(
@@ -233,13 +252,13 @@
     def input_bytes_by_data_centre(
         self, context: ServingContext, results: StageResults
     ) -> dict[str, float]:
-        """Returns where the bytes lie that a request's engine will fetch."""
+        """Returns the bytes that the engine will fetch, by data centre."""
         found: dict[str, float] = {}
         for number in results.final_stages():
             size = context.route.stages[number].result_bytes
             for handle in results.handles_by_stage.get(number, ()):
-                where = self._dispatch.data_centre_of(handle)
-                found[where] = found.get(where, 0.0) + size
+                data_centre = self._dispatch.data_centre_of(handle)
+                found[data_centre] = found.get(data_centre, 0.0) + size
         return found
 
     def free(self, context: ServingContext, results: StageResults) -> None:
@@ -255,37 +274,39 @@
         results.freed_stages.clear()
         results.partial_handles.clear()
 
-    def _forget_inputs(
+    def _discard_inputs(
         self, context: ServingContext, results: StageResults, number: int
     ) -> None:
-        """Has the inputs of a stage made again, as one of them is gone.
+        """Discards the inputs of a stage so that they are recomputed.
 
-        It died with its maker, or was freed before a piece failed. Which one is
-        gone isn't told; what they were made from is made again where it was
-        freed. Results that the stage has stay.
+        Called when one of them is gone: its replica has stopped, or it was
+        freed before a piece failed. The failure does not say which one, so all
+        are discarded, and in turn their own inputs where these were freed.
+        Results that the stage already has are kept.
         """
-        for before in results.input_stages(number):
-            handles = results.handles_by_stage.pop(before, None)
+        for predecessor in results.input_stages(number):
+            handles = results.handles_by_stage.pop(predecessor, None)
             if handles is None:
                 continue
-            if before in results.freed_stages:
-                results.freed_stages.discard(before)
+            if predecessor in results.freed_stages:
+                results.freed_stages.discard(predecessor)
             else:
-                service = context.route.stages[before].service
+                service = context.route.stages[predecessor].service
                 self._dispatch.free(service, handles)
             if any(
-                n in results.freed_stages for n in results.input_stages(before)
+                n in results.freed_stages
+                for n in results.input_stages(predecessor)
             ):
-                self._forget_inputs(context, results, before)
+                self._discard_inputs(context, results, predecessor)
 
-    def _free_used(
+    def _free_unneeded(
         self, context: ServingContext, results: StageResults
     ) -> None:
-        """Frees results whose every user has its own result by now.
+        """Frees results once all stages that use them have theirs.
 
-        Kept until the request is answered they would fill their makers'
-        memory: seen as calls for a quarter of a batch, queues that grew by the
-        thousand and never shrank.
+        If they were kept until the request is answered, they would fill the
+        replicas' memory: calls then run with a quarter of a batch, and queues
+        grow by thousands of pieces and never shrink.
         """
         needed = set(results.final_stages())
         for number in results.active_stages():
@@ -298,7 +319,7 @@
             self._dispatch.free(service, results.handles_by_stage[number])
             results.freed_stages.add(number)
 
-    async def _run_missing(
+    async def _run_remaining(
         self, context: ServingContext, results: StageResults
     ) -> Result[None, Failure]:
         done = {n: anyio.Event() for n in results.active_stages()}
@@ -306,27 +327,31 @@
         async with anyio.create_task_group() as tasks:
 
             async def run_one(number: int) -> None:
-                for before in results.input_stages(number):
-                    await done[before].wait()
-                for before in self._starts_after(context, results, number):
-                    await done[before].wait()
+                for predecessor in results.input_stages(number):
+                    await done[predecessor].wait()
+                for predecessor in self._stages_to_wait_for(
+                    context, results, number
+                ):
+                    await done[predecessor].wait()
                 if number not in results.handles_by_stage:
-                    last_uses = self._last_uses(results, number)
+                    last_used = self._stages_last_used_by(results, number)
                     answer = await self._run_stage(
-                        context, results, number, last_uses
+                        context, results, number, last_used
                     )
                     if isinstance(answer, Err):
                         failures.append(answer.err_value)
                         tasks.cancel_scope.cancel()
                         return
-                    if not self._take_made(results, number, answer.ok_value):
-                        failures.append(_inputs_gone(context, number))
+                    if not self._merge_outcome(
+                        results, number, answer.ok_value
+                    ):
+                        failures.append(_input_gone_failure(context, number))
                         tasks.cancel_scope.cancel()
                         return
                     if answer.ok_value.inputs_freed:
-                        results.freed_stages.update(last_uses)
+                        results.freed_stages.update(last_used)
                 done[number].set()
-                self._free_used(context, results)
+                self._free_unneeded(context, results)
 
             for number in results.active_stages():
                 tasks.start_soon(run_one, number)
@@ -337,63 +362,69 @@
         context: ServingContext,
         results: StageResults,
         number: int,
-        last_uses: Sequence[int],
+        last_used: Sequence[int],
     ) -> Result[StageMade, Failure]:
         request = context.request
         stage = context.route.stages[number]
-        before = results.input_stages(number)
-        inputs = tuple(h for n in before for h in results.handles_by_stage[n])
+        input_stages = results.input_stages(number)
+        inputs = tuple(
+            h for n in input_stages for h in results.handles_by_stage[n]
+        )
         pieces = tuple(
             Piece(
                 request_id=request.request_id,
                 stage=number,
                 number=piece,
-                key="" if before else request.piece_key,
+                key="" if input_stages else request.piece_key,
                 inputs=inputs,
             )
             for piece in range(results.piece_count(number))
             if piece not in results.partial_handles.get(number, {})
         )
         now = self._clock.now()
-        rest_ms = self._rest_ms(context, results, number)
+        ms_after = self._ms_after(context, results, number)
         context.pending_stages.add(number)
         answer = await self._dispatch.make(
             StageWork(
                 service=stage.service,
                 name=f"{request.request_id}/{number}/{now:.0f}",
                 pieces=pieces,
-                needed_in_ms=context.objective_at - rest_ms - now,
-                ends_in_ms=context.start_deadline_at - rest_ms - now,
+                needed_in_ms=context.objective_at - ms_after - now,
+                ends_in_ms=context.start_deadline_at - ms_after - now,
                 priority=context.priority,
                 result_bytes=stage.result_bytes,
                 may_refuse=not results.handles_by_stage,
-                moved_bytes=self._moved_bytes(context, results, number),
-                data_centre="" if before else results.data_centre,
+                moved_bytes=self._transfer_bytes(context, results, number),
+                data_centre="" if input_stages else results.data_centre,
                 again=bool(results.partial_handles),
                 last_use_of=tuple(
                     StageInputs(
                         service=context.route.stages[n].service,
                         handles=tuple(results.handles_by_stage[n]),
                     )
-                    for n in last_uses
+                    for n in last_used
                 ),
             )
         )
         handles = answer.ok_value.handles if isinstance(answer, Ok) else ()
-        made = sum(1 for handle in handles if handle)
-        context.record_stage(number, self._clock.now() - now, made)
+        computed = sum(1 for handle in handles if handle)
+        context.record_stage(number, self._clock.now() - now, computed)
         return answer
 
-    def _take_made(
-        self, results: StageResults, number: int, made: StageMade
+    def _merge_outcome(
+        self, results: StageResults, number: int, outcome: StageMade
     ) -> bool:
-        """Takes what was made of a stage; returns whether that is all."""
-        known = results.partial_handles.pop(number, {})
+        """Stores the results of a stage.
+
+        Returns:
+            Whether every piece of the stage now has its result.
+        """
+        partial = results.partial_handles.pop(number, {})
         missing = [
-            n for n in range(results.piece_count(number)) if n not in known
+            n for n in range(results.piece_count(number)) if n not in partial
         ]
-        new = dict(zip(missing, made.handles, strict=True))
-        pieces = known | {n: handle for n, handle in new.items() if handle}
+        new = dict(zip(missing, outcome.handles, strict=True))
+        pieces = partial | {n: handle for n, handle in new.items() if handle}
         if len(pieces) < results.piece_count(number):
             results.partial_handles[number] = pieces
             return False
@@ -402,8 +433,10 @@
         ]
         return True
 
-    def _last_uses(self, results: StageResults, number: int) -> list[int]:
-        """Returns the stages whose results only a stage still needs."""
+    def _stages_last_used_by(
+        self, results: StageResults, number: int
+    ) -> list[int]:
+        """Returns the input stages whose results no other stage needs."""
         needed = set(results.final_stages())
         for other in results.active_stages():
             if other != number and other not in results.handles_by_stage:
@@ -414,14 +447,14 @@
             if n not in needed and n not in results.freed_stages
         ]
 
-    def _starts_after(
+    def _stages_to_wait_for(
         self, context: ServingContext, results: StageResults, number: int
     ) -> list[int]:
-        """Returns the stages whose end a stage waits for, without need.
+        """Returns stages that a stage waits for without using their results.
 
-        The results of a short branch would lie in their makers' scarce memory
-        until the longest branch is done. It begins so late that it should
-        still be done sooner, with as much again for a queue.
+        The results of a short branch would occupy scarce memory of replicas
+        until the longest branch ends. The short branch therefore starts late,
+        but early enough to end before the longest one by `BRANCH_MARGIN`.
         """
         last = results.final_stages()
         if number not in last or len(last) == 1 or results.input_stages(number):
@@ -431,18 +464,18 @@
         for other in results.active_stages():
             if other == number:
                 continue
-            left_ms = self._rest_ms(context, results, other)
-            if left_ms - ANSWER_MARGIN_MS > own_ms:
+            remaining_ms = self._ms_after(context, results, other)
+            if remaining_ms - ANSWER_MARGIN_MS > own_ms:
                 waits.append(other)
         return waits
 
     async def _engine_data_centre(
         self, context: ServingContext, results: StageResults
     ) -> str:
-        """Returns where the request's engine is likely to stand.
+        """Returns the data centre of the request's likely engine.
 
-        Asked only where results are so large that carrying them between data
-        centres costs more than the question.
+        It is looked up only for results so large that their transfer between
+        data centres costs more than the lookup; otherwise it is empty.
         """
         generation = context.request.generation
         largest = max(
@@ -456,31 +489,35 @@
             return ""
         return await self._dispatch.locate(context.service, generation)
 
-    def _moved_bytes(
+    def _transfer_bytes(
         self, context: ServingContext, results: StageResults, number: int
     ) -> float:
-        """Returns what a piece fetches, or what is fetched of a first one."""
+        """Returns the bytes that move if a piece runs in another data centre.
+
+        These are its inputs, or its result for a stage without inputs.
+        """
         stages = context.route.stages
-        before = results.input_stages(number)
-        if not before:
+        input_stages = results.input_stages(number)
+        if not input_stages:
             return stages[number].result_bytes
         return sum(
-            results.piece_count(n) * stages[n].result_bytes for n in before
+            results.piece_count(n) * stages[n].result_bytes
+            for n in input_stages
         )
 
-    def _rest_ms(
+    def _ms_after(
         self, context: ServingContext, results: StageResults, number: int
     ) -> float:
-        """Returns about how long the request takes after a stage."""
+        """Estimates the time from the end of a stage to the first token."""
         later = [
             self._stage_ms(context, results, n)
-            + self._rest_ms(context, results, n)
+            + self._ms_after(context, results, n)
             for n in results.active_stages()
             if number in results.input_stages(n)
         ]
         if later:
             return max(later)
-        return ANSWER_MARGIN_MS + _reading_ms(context)
+        return ANSWER_MARGIN_MS + _prefill_ms(context)
 
     def _stage_ms(
         self, context: ServingContext, results: StageResults, number: int
@@ -495,24 +532,24 @@
         return WAIT_FACTOR * call_ms
 
 
-def _reading_ms(context: ServingContext) -> float:
-    """Returns about how long an engine reads what is the request's own."""
+def _prefill_ms(context: ServingContext) -> float:
+    """Estimates the prefill time of the prompt part that is not shared."""
     generation = context.request.generation
     if generation is None or not generation.parts:
         return 0.0
-    return generation.parts[-1].tokens * MS_PER_TOKEN
+    return generation.parts[-1].tokens * PREFILL_MS_PER_TOKEN
 
 
-def _inputs_gone(context: ServingContext, number: int) -> Failure:
+def _input_gone_failure(context: ServingContext, number: int) -> Failure:
     service = context.route.stages[number].service
     return Failure(
         kind=FailureKind.STAGE_INPUT_GONE,
-        detail=f"an input of a piece of {service} is gone",
-        retry_after_ms=LEAST_RETRY_AFTER_MS,
+        detail=f"an input of a piece of stage service {service} is gone",
+        retry_after_ms=MIN_RETRY_AFTER_MS,
     )
 
 
-def _lost_inputs(answer: Result[None, Failure]) -> bool:
+def _is_input_gone(answer: Result[None, Failure]) -> bool:
     return isinstance(answer, Err) and (
         answer.err_value.kind is FailureKind.STAGE_INPUT_GONE
     )
