--- a/cactusdyke/serving/patience.py
+++ b/cactusdyke/serving/patience.py
@@ -1,4 +1,4 @@
-"""How long callers have been waiting before they came to this daemon."""
+"""Estimates how long callers waited before they reached this daemon."""
 
 from __future__ import annotations
 
@@ -9,52 +9,56 @@
     from cactusdyke.serving.model import Route
 
 USUAL_SHARE = 0.85
-"""Callers of one route wait alike: their times were seen between this share of
-the longest and the longest. Whoever has less left has been trying before."""
-LAST_CALLERS = 60
-MOST_ROUTES = 200
+"""The patience of a route's new callers lies between this share of the full_ms
+one and the longest one. A caller with less left has tried elsewhere before."""
+CALLERS_PER_ROUTE = 60
+MAX_ROUTES = 200
 
 
 class CallerPatience:
-    """Tells callers that return from those that come for the first time.
+    """Distinguishes callers that retry from callers of new requests.
 
-    Both say how long they will wait, and nothing else. After an outage, or a
-    burst with refusals, half of those that come have used up their time to an
-    answer of full value elsewhere. Taken for new ones they go before others
-    that could still be on time, and no one is.
+    Both state only how long they will wait from now on. After an outage, or a
+    burst with refusals, half of the callers have already waited past their
+    objective elsewhere. If they counted as new, they would be served before
+    others that can still meet their objective, and all would be late.
     """
 
     def __init__(self) -> None:
-        self._seen: collections.OrderedDict[str, collections.deque[float]] = (
-            collections.OrderedDict()
-        )
+        self._recent_by_route: collections.OrderedDict[
+            str, collections.deque[float]
+        ] = collections.OrderedDict()
 
     def waited_ms(self, route: Route, patience_ms: float) -> float:
-        """Returns about how long a caller has been waiting, 0 for a new one.
+        """Estimates how long a caller has been waiting, 0 for a new request.
 
         Args:
-            route: What it asks for.
-            patience_ms: How long it says that it still waits.
+            route: The route of its request.
+            patience_ms: How long it states that it still waits.
         """
-        seen = self._seen.setdefault(
-            route.name, collections.deque(maxlen=LAST_CALLERS)
+        recent = self._recent_by_route.setdefault(
+            route.name, collections.deque(maxlen=CALLERS_PER_ROUTE)
         )
-        seen.append(patience_ms)
-        self._seen.move_to_end(route.name)
-        while len(self._seen) > MOST_ROUTES:
-            self._seen.popitem(last=False)
-        longest = self._longest(route, max(seen))
-        if patience_ms >= USUAL_SHARE * longest:
+        recent.append(patience_ms)
+        self._recent_by_route.move_to_end(route.name)
+        while len(self._recent_by_route) > MAX_ROUTES:
+            self._recent_by_route.popitem(last=False)
+        full_ms = self._full_patience_ms(route, max(recent))
+        if patience_ms >= USUAL_SHARE * full_ms:
             return 0.0
-        return (1 + USUAL_SHARE) / 2 * longest - patience_ms
+        return (1 + USUAL_SHARE) / 2 * full_ms - patience_ms
 
-    def _longest(self, route: Route, seen_ms: float) -> float:
-        """Returns how long callers of a route wait at the longest.
+    def _full_patience_ms(self, route: Route, longest_seen_ms: float) -> float:
+        """Estimates the patience of a route's new callers.
 
-        A daemon that has just started meets more returning callers than new
-        ones. Callers that wait about as long as the operator lets them be kept
-        waiting are taken to wait just as long.
+        A daemon that has just started receives more retries than new requests,
+        so the longest patience seen may be too short. If that is close to the
+        route's time-out, the time-out is used in its place.
         """
-        if USUAL_SHARE**2 * route.timeout_ms <= seen_ms <= route.timeout_ms:
+        if (
+            USUAL_SHARE**2 * route.timeout_ms
+            <= longest_seen_ms
+            <= route.timeout_ms
+        ):
             return route.timeout_ms
-        return seen_ms
+        return longest_seen_ms
--- a/cactusdyke/serving/routes.py
+++ b/cactusdyke/serving/routes.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the service that gets it."""
+"""Finds the route of a request and chooses its service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """Routes by host and longest path prefix."""
+    """Looks up routes by host and longest path prefix."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._by_host: dict[str, dict[str, Route]] = {}
@@ -20,10 +20,11 @@
             self._by_host.setdefault(route.host, {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest prefix that matches a path.
 
-        Every prefix ends with a slash, so only the path's own cuts at
-        slashes are looked up; the cost does not grow with the routes.
+        Every prefix ends with a slash, so only the prefixes of the path that
+        end at one of its slashes are looked up. The cost does not depend on
+        the number of routes.
         """
         routes = self._by_host.get(host)
         if routes is None:
@@ -39,7 +40,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Draws the service that a request of the route goes to."""
+    """Chooses the service of a request at random, by the targets' weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [max(0.0, target.weight) for target in route.targets]
