--- a/cactusdyke/serving/__init__.py
+++ b/cactusdyke/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving requests with opaque payloads: routes, stages, replicas, retries."""
+"""Serves requests with opaque payloads: routing, stages, replicas, retries."""
--- a/cactusdyke/serving/caller_addresses.py
+++ b/cactusdyke/serving/caller_addresses.py
@@ -1,7 +1,8 @@
-"""Which daemons a caller is told of.
+"""Selects the daemons whose addresses a caller is given.
 
-Callers choose among the addresses at random. Told of all, those of a large
-deployment in four data centres send three requests of four to another one.
+Callers choose among the addresses at random. If they were given all of them,
+callers of a large deployment in four data centres would send three of four
+requests to another data centre.
 """
 
 from __future__ import annotations
@@ -15,35 +16,36 @@
 
     from cactusdyke.serving.peers import PeerDaemon
 
-ENOUGH_NEAR = 8
-"""With so many near a caller needs others only if all of them are lost."""
+MIN_LOCAL_DAEMONS = 8
+"""With so many daemons in its data centre a caller needs others only if all of
+these fail at once."""
 
 
 def daemons_for_caller(
     daemons: Sequence[PeerDaemon], data_centre: str, *, max_count: int
 ) -> list[PeerDaemon]:
-    """Returns the daemons that a caller in a data centre is told of.
+    """Returns the daemons whose addresses a caller is given.
 
-    Where enough are near and have time left, one of each other data centre is
-    told of besides, for callers that lose all of them at once. The same daemons
-    are told of as long as these are there: callers close connections to those
-    that are not.
+    If enough daemons in the caller's data centre are not busy, only one of each
+    other data centre is added, for the case that all local ones fail at once.
+    The selection is stable while its daemons exist, because callers close
+    connections to daemons that are not in the list.
 
     Args:
-        daemons: Those that callers may use.
-        data_centre: Where the caller is.
-        max_count: How many may be told of.
+        daemons: The daemons that callers may use.
+        data_centre: The caller's data centre.
+        max_count: Maximum number of daemons to return.
     """
     ordered = sorted(daemons, key=lambda d: _hash(f"{data_centre}@{d.name}"))
-    near = [d for d in ordered if d.data_centre == data_centre]
-    far = [d for d in ordered if d.data_centre != data_centre]
-    calm = sum(not d.busy for d in near)
-    if calm < ENOUGH_NEAR or 2 * calm < len(near):
-        return [*near, *far][:max_count]
-    spare: dict[str, PeerDaemon] = {}
-    for daemon in sorted(far, key=lambda d: -d.size):
-        spare.setdefault(daemon.data_centre, daemon)
-    return [*near[: max_count - len(spare)], *spare.values()]
+    local = [d for d in ordered if d.data_centre == data_centre]
+    remote = [d for d in ordered if d.data_centre != data_centre]
+    idle = sum(not d.busy for d in local)
+    if idle < MIN_LOCAL_DAEMONS or 2 * idle < len(local):
+        return [*local, *remote][:max_count]
+    fallback: dict[str, PeerDaemon] = {}
+    for daemon in sorted(remote, key=lambda d: -d.size):
+        fallback.setdefault(daemon.data_centre, daemon)
+    return [*local[: max_count - len(fallback)], *fallback.values()]
 
 
 def _hash(text: str) -> int:
--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -1,4 +1,4 @@
-"""The core of a daemon: everything between callers, peers and replicas."""
+"""The core of a daemon: serving of requests, without platform and network."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 
 class ServingCore:
-    """Composes the services that serve requests, on whatever adapters.
+    """Composes the services that serve requests from given adapters.
 
-    The users' platform, the emulator and the tests give it their own dialect,
-    networks and clock; what is decided is the same code.
+    The users' platform, the emulator and the tests pass in their own dialect,
+    networks and clock; the code that takes decisions is the same for all.
     """
 
     def __init__(
@@ -141,26 +141,26 @@
 
     @property
     def forwarder(self) -> Forwarder:
-        """Answers callers' requests."""
+        """The handler of callers' requests."""
         return self._forwarder
 
     @property
     def quarantine(self) -> Quarantine:
-        """Keeps requests that crash replicas from them."""
+        """The quarantine of requests that crash replicas."""
         return self._quarantine
 
     @property
     def decided_service_hashes(self) -> frozenset[int]:
-        """Marks of the services that this daemon says it decides for."""
+        """Hashes of the services that this daemon announces to decide for."""
         return self._dispatch.decides
 
     def decider_of(self, service: str) -> str:
-        """Returns the name of the daemon that decides, as seen from here."""
+        """Returns the name of a service's decider in this daemon's view."""
         return self._deciders.by_members(service).name
 
     @property
     def services(self) -> dict[str, Service]:
-        """What has to run, by name, in the order in which it starts."""
+        """The services to run, by name, in the order in which they start."""
         return {
             "peer_watch": self._watch,
             "decider": self._decider,
@@ -171,7 +171,7 @@
 
     @property
     def peer_routes(self) -> list[tuple[str, str, Handler]]:
-        """What other daemons call, as (method, path, handler)."""
+        """The routes for other daemons' calls, as (method, path, handler)."""
         return [
             ("POST", STAGE_PATH, self._interface.handle_stage),
             ("POST", PLACE_PATH, self._interface.handle_place),
--- a/cactusdyke/serving/planned_stop.py
+++ b/cactusdyke/serving/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: no new callers, an end to what is under way, then the end."""
+"""Planned stop: stops accepting requests, finishes those in progress, exits."""
 
 from __future__ import annotations
 
@@ -18,25 +18,26 @@
     from cactusdyke.transport.front import Front
 
 STOP_MARGIN_MS = 300.0
-"""Kept of the time between SIGTERM and SIGKILL for the last log lines and one
-call to the store."""
-LEAST_LINGER_MS = 3_000.0
-"""Callers are told of other addresses within a second, and most ask again after
-the two seconds that their answer holds."""
-LAST_ANSWERS_MS = 500.0
-"""Before the end: requests that can't be served are answered by then, which
+"""Part of the time between SIGTERM and SIGKILL that is reserved for the last
+log lines and one call to the store."""
+MIN_LINGER_MS = 3_000.0
+"""Within a second, answers to callers no longer list this daemon's address, and
+most callers request a new list after the two seconds that a list is valid."""
+FINAL_ANSWERS_MS = 500.0
+"""Requests that can't be served are answered this long before the exit, which
 leaves time to write hundreds of answers and for callers to read them."""
 
 
 @attrs.frozen(kw_only=True)
 class StopTimes:
-    """What a daemon still does until when; infinite while nothing stops it.
+    """The instants of a stop; infinite while no stop is requested.
 
     Attributes:
-        streams_until: Streams are begun until then, for their length is known
-            by its share of long ones only. Callers know other addresses.
-        answers_by: Every request that has no answer by then gets one.
-        ends_at: The daemon will have ended.
+        accept_streams_until: New streams are accepted until then. The length
+            of a single stream can't be predicted, only how long the longer
+            ones usually take; callers have other addresses by then.
+        answer_deadline_at: Every request without an answer gets one by then.
+        exit_at: The daemon has exited by then.
     """
 
     accept_streams_until: Instant = math.inf
@@ -45,7 +46,7 @@
 
 
 class PlannedStop:
-    """Serves callers that still hold the address, then lets the daemon end."""
+    """Serves callers that still use the address, then lets the daemon exit."""
 
     def __init__(
         self, *, clock: Clock, daemon: str, grace_ms: Callable[[], float]
@@ -57,12 +58,12 @@
 
     @property
     def started(self) -> bool:
-        """Whether the daemon was asked to stop."""
+        """Whether a stop was requested."""
         return self._times.exit_at < math.inf
 
     @property
     def times(self) -> StopTimes:
-        """What the daemon still does until when."""
+        """The instants of the stop."""
         return self._times
 
     async def run(
@@ -72,18 +73,21 @@
         drain: Callable[[], Coroutine[None, None, None]],
         end_requests: Callable[[], Coroutine[None, None, None]],
     ) -> int:
-        """Returns when nothing is in flight, or the time is over.
+        """Runs until no request is in flight or the time is over.
 
-        What is in flight then is cut; its count is returned.
+        Requests that are still in flight then are aborted.
 
         Args:
-            front: Where callers are answered; it goes on.
-            drain: Tells all services that the daemon leaves; returns once
-                they are done with what others wait for.
+            front: Server for callers' connections; it keeps serving.
+            drain: Informs all services that the daemon leaves; returns once
+                they have finished the work that other daemons wait for.
             end_requests: Answers requests that can't be served before
-                `answers_by`, until it is cancelled.
+                `answer_deadline_at`, until it is cancelled.
+
+        Returns:
+            The number of aborted requests.
         """
-        times = self._times = self._begin()
+        times = self._times = self._start()
         events.log(events.Event.DAEMON_DRAINING, daemon=self._daemon)
         front.close_connections()
         drained = anyio.Event()
@@ -103,20 +107,21 @@
                 times.answer_deadline_at - self._clock.now()
             ):
                 await drained.wait()
-            # Waiting out the whole time would keep several hosts at once from
-            # new work where they are stopped in turn, and all would refuse.
+            # Returns as soon as no request is in flight. If each daemon used its
+            # whole time, the stops of hosts that are stopped one after another
+            # would overlap, and callers would be refused by all of them.
             with self._clock.timeout(times.exit_at - self._clock.now()):
                 await front.finish(refuse_at=times.answer_deadline_at)
-            cut = front.in_flight
+            aborted = front.in_flight
             await front.abort()
             tasks.cancel_scope.cancel()
-        return cut
+        return aborted
 
-    def _begin(self) -> StopTimes:
+    def _start(self) -> StopTimes:
         now = self._clock.now()
-        ends_at = now + self._grace_ms() - STOP_MARGIN_MS
+        exit_at = now + self._grace_ms() - STOP_MARGIN_MS
         return StopTimes(
-            accept_streams_until=now + LEAST_LINGER_MS,
-            answer_deadline_at=ends_at - LAST_ANSWERS_MS,
-            exit_at=ends_at,
+            accept_streams_until=now + MIN_LINGER_MS,
+            answer_deadline_at=exit_at - FINAL_ANSWERS_MS,
+            exit_at=exit_at,
         )
--- a/cactusdyke/serving/processor_load.py
+++ b/cactusdyke/serving/processor_load.py
@@ -1,4 +1,4 @@
-"""Whether this process has little processor time left."""
+"""Detects whether this process uses most of its share of processor time."""
 
 from __future__ import annotations
 
@@ -12,13 +12,18 @@
 
     from cactusdyke.clock import Clock
 
-SPAN_MS = 1_000.0
+INTERVAL_MS = 1_000.0
 BUSY_SHARE = 0.5
-CALM_SHARE = 0.3
+IDLE_SHARE = 0.3
+"""Lower than `BUSY_SHARE`, so that a process does not alternate between busy
+and idle."""
 
 
 class ProcessorLoad:
-    """The share of its cores that a process used in the last span."""
+    """Compares the processor time of a process with the cores that it has.
+
+    The share of the last complete interval counts.
+    """
 
     def __init__(
         self,
@@ -29,19 +34,19 @@
     ) -> None:
         self._clock = clock
         self._cores = cores
-        self._used_s = cpu_time_s
-        self._from = (clock.now(), cpu_time_s())
+        self._cpu_time_s = cpu_time_s
+        self._interval_start = (clock.now(), cpu_time_s())
         self._busy = False
 
     @property
     def busy(self) -> bool:
-        """Whether it uses so much that others should take what comes."""
-        began, used_before = self._from
-        span_ms = self._clock.now() - began
-        if span_ms >= SPAN_MS:
-            used_s = self._used_s()
-            self._from = (self._clock.now(), used_s)
-            used_ms = (used_s - used_before) * MS_PER_SECOND
-            share = used_ms / span_ms / self._cores
-            self._busy = share > (CALM_SHARE if self._busy else BUSY_SHARE)
+        """Whether the process is busy, so that other daemons should take over."""
+        started_at, cpu_s_before = self._interval_start
+        elapsed_ms = self._clock.now() - started_at
+        if elapsed_ms >= INTERVAL_MS:
+            cpu_s = self._cpu_time_s()
+            self._interval_start = (self._clock.now(), cpu_s)
+            cpu_ms = (cpu_s - cpu_s_before) * MS_PER_SECOND
+            share = cpu_ms / elapsed_ms / self._cores
+            self._busy = share > (IDLE_SHARE if self._busy else BUSY_SHARE)
         return self._busy
