--- a/cactusdyke/serving/planned_stop.py
+++ b/cactusdyke/serving/planned_stop.py
@@ -107,9 +107,9 @@
                 times.answer_deadline_at - self._clock.now()
             ):
                 await drained.wait()
-            # Returns as soon as no request is in flight. If each daemon used its
-            # whole time, the stops of hosts that are stopped one after another
-            # would overlap, and callers would be refused by all of them.
+            # Returns as soon as no request is in flight. If each daemon used
+            # its whole time, the stops of hosts that are stopped one after
+            # another would overlap, and all of them would refuse callers.
             with self._clock.timeout(times.exit_at - self._clock.now()):
                 await front.finish(refuse_at=times.answer_deadline_at)
             aborted = front.in_flight
--- a/cactusdyke/serving/processor_load.py
+++ b/cactusdyke/serving/processor_load.py
@@ -40,7 +40,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether the process is busy, so that other daemons should take over."""
+        """Whether the process is busy; others should get new requests then."""
         started_at, cpu_s_before = self._interval_start
         elapsed_ms = self._clock.now() - started_at
         if elapsed_ms >= INTERVAL_MS:
