--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -60,8 +60,8 @@
         deployment: Deployment,
         daemons: PeerDaemons,
         data_centre: str,
-        allowance: Callable[[], RetryAllowance],
-        stop: Callable[[], StopTimes],
+        retry_allowance: Callable[[], RetryAllowance],
+        stop_times: Callable[[], StopTimes],
         announce: Callable[[], None],
         quarantine_store: QuarantineStore,
         metrics: ServingMetrics,
@@ -101,7 +101,7 @@
         health = ReplicaHealth(clock=clock)
         budget = RetryBudget(
             clock=clock,
-            allowance=allowance,
+            allowance=retry_allowance,
             daemons=daemons.believed_count,
         )
         self._forwarder = Forwarder(
@@ -134,7 +134,7 @@
             health=health,
             budget=budget,
             quarantine=self._quarantine,
-            stop=stop,
+            stop=stop_times,
             metrics=metrics,
             tracing=tracing,
         )
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -220,8 +220,8 @@
             deployment=deployment,
             daemons=view,
             data_centre=self.data_centre,
-            allowance=RetryAllowance,
-            stop=StopTimes,
+            retry_allowance=RetryAllowance,
+            stop_times=StopTimes,
             announce=members.announce,
             quarantine_store=_SavedQuarantine(
                 saved=world.saved,
--- a/features/serving/body_memory.feature
+++ b/features/serving/body_memory.feature
@@ -1,30 +1,31 @@
-Feature: the memory for bodies is bounded, and nobody waits for it for ever
+Feature: the memory for request bodies is limited, and waits for it are too
 
-  Scenario: bodies that wait are bounded over all connections
-    # Many callers send four megabytes each and none is done. The host has 300.
-    Given bodies that hold nearly all the memory they may
+  Scenario: the limit applies to bodies of all connections together
+    # Guards against running out of memory when many callers send four megabytes
+    # each and no request is done; the host has 300 megabytes.
+    Given bodies that hold nearly all of the memory for bodies
     When another body of a megabyte comes
     Then it is read only after one of the others is answered
 
-  Scenario: all bodies that wait are read as memory is given back
-    # Guards against a waiting body that nobody wakes.
-    Given bodies that hold nearly all the memory they may
+  Scenario: all waiting bodies are read when memory is released
+    # Guards against a waiting body that is not woken up.
+    Given bodies that hold nearly all of the memory for bodies
     When two more bodies come and the others are answered
     Then both are read
 
-  Scenario: a body that finds no memory is refused in time
-    # Guards against requests that wait for memory beyond their own time, and
+  Scenario: a body that gets no memory is refused in time
+    # Guards against requests that wait for memory past their deadline, and
     # against bodies that wait for each other.
-    Given bodies that hold nearly all the memory they may
+    Given bodies that hold nearly all of the memory for bodies
     When another body comes and none is answered
     Then it is refused after two seconds
 
-  Scenario Outline: a body that <ends> gives its memory back
-    # Guards against a host that in the end reads no body any more.
+  Scenario Outline: a body that <ends> releases its memory
+    # Guards against a leak after which the host reads no more bodies.
     When ten bodies of seven megabytes <end> and another request comes
     Then the request with a body is answered
 
     Examples:
       | ends                       | end                    |
-      | its caller leaves          | are left by callers    |
-      | comes too slowly           | come too slowly        |
+      | its caller abandons        | are left by callers    |
+      | arrives too slowly         | come too slowly        |
--- a/features/steps/body_memory_steps.py
+++ b/features/steps/body_memory_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the memory that bodies of requests may take together."""
+"""Steps for the limit on the memory of all request bodies."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from standins.virtual import run_virtual
 
 MEGABYTE = 1 << 20
-ANSWERED_IN_S = 4.0
+ANSWER_TIMEOUT_S = 4.0
 
 
-@given("bodies that hold nearly all the memory they may")
+@given("bodies that hold nearly all of the memory for bodies")
 def nearly_full(context):
     context.memory = BodyMemory(clock=EventLoopClock())
 
 
 async def read(context, size, name):
-    """Reads a body and keeps it; notes when it was read, or refused."""
+    """Reads a body and holds it; records when it was read or refused."""
     try:
         with context.memory.hold() as body:
             await body.add(size)
@@ -38,14 +38,14 @@
         context.refused[name] = anyio.current_time()
 
 
-async def others(context, *, answered_after_s):
+async def hold_bodies(context, *, answered_after_s):
     with context.memory.hold() as body:
         await body.add(MOST_BYTES - 1_000)
         await anyio.sleep(answered_after_s)
 
 
-def play_bodies(context, names, *, answered_after_s):
-    """Plays bodies of a megabyte that come while others hold the memory."""
+def run_bodies(context, names, *, answered_after_s):
+    """Runs bodies of a megabyte that come while others hold the memory."""
     context.read = {}
     context.refused = {}
 
@@ -53,7 +53,7 @@
         async with anyio.create_task_group() as tasks:
 
             async def hold():
-                await others(context, answered_after_s=answered_after_s)
+                await hold_bodies(context, answered_after_s=answered_after_s)
 
             tasks.start_soon(hold)
             await anyio.sleep(0.001)
@@ -67,7 +67,7 @@
 
 @when("another body of a megabyte comes")
 def another_body(context):
-    play_bodies(context, ["one"], answered_after_s=1)
+    run_bodies(context, ["one"], answered_after_s=1)
 
 
 @then("it is read only after one of the others is answered")
@@ -78,7 +78,7 @@
 
 @when("two more bodies come and the others are answered")
 def two_bodies(context):
-    play_bodies(context, ["one", "two"], answered_after_s=1)
+    run_bodies(context, ["one", "two"], answered_after_s=1)
 
 
 @then("both are read")
@@ -89,7 +89,7 @@
 
 @when("another body comes and none is answered")
 def none_answered(context):
-    play_bodies(context, ["one"], answered_after_s=10)
+    run_bodies(context, ["one"], answered_after_s=10)
 
 
 @then("it is refused after two seconds")
@@ -116,7 +116,7 @@
 def unfinished_bodies(context, end):
     linger_s = {"are left by callers": 0.3, "come too slowly": 5.5}[end]
 
-    async def story(world):
+    async def scenario(world):
         await world.add_replica("p1")
         limits = configuration([])["limits"]
         world.configure(
@@ -130,17 +130,17 @@
                 await anyio.sleep(0.1)
         context.answer = None
         with (
-            anyio.move_on_after(ANSWERED_IN_S),
+            anyio.move_on_after(ANSWER_TIMEOUT_S),
             contextlib.suppress(ExchangeError),
         ):
             context.answer = await world.request(
                 "/look/a", body=b"b" * MEGABYTE
             )
 
-    play(story)
+    play(scenario)
 
 
 @then("the request with a body is answered")
 def check_answered_body(context):
-    assert context.answer is not None, "the body is not read"
+    assert context.answer is not None, "the body was not read"
     assert context.answer[0] == 200, context.answer
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what keeps a daemon alive: logs, budgets, silence, memory."""
+"""Steps for log limits, retry budgets, silent deciders and time-outs."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 @given("a log sink on a pipe that is read")
-@given("a log sink on a pipe that nobody reads")
+@given("a log sink on a pipe that is not read")
 def given_sink(context):
     _sink(context)
 
@@ -97,13 +97,13 @@
     context.took = time.monotonic() - began
 
 
-@then("the sink comes back at once and holds a megabyte at most")
+@then("the sink returns at once and buffers a megabyte at most")
 def check_flood(context):
     assert context.took < 2.0, context.took
     assert context.sink._waiting_bytes <= 1 << 20
 
 
-@then("once the pipe is read it tells how many lines were lost")
+@then("once the pipe is read it reports how many lines were lost")
 def check_lost(context):
     lines = _lines(context)
     lost = sum(x["lines"] for x in lines if x["event"].startswith("CD1006"))
@@ -113,7 +113,7 @@
 
 
 class CutOffMembers:
-    """Membership of a daemon that believes five others dead."""
+    """Membership of a daemon that considers five others dead."""
 
     known_count = 6
 
@@ -121,7 +121,7 @@
         pass
 
 
-@given("a daemon that believes five others dead")
+@given("a daemon that considers five others dead")
 def cut_off(context):
     context.view = MemberView(
         clock=HandClock(),
@@ -134,13 +134,13 @@
     )
 
 
-@then("it still shares the retries with them")
+@then("it still divides the retry budget among all of them")
 def check_cut_off(context):
     assert context.view.believed_count() == 6
 
 
 class SilentNetwork:
-    """Answers questions until it is told not to."""
+    """Answers probes until `silent` is set."""
 
     def __init__(self):
         self.silent = False
@@ -168,12 +168,12 @@
 )
 
 
-@given("a daemon that waits for another one to make pieces")
+@given("a daemon that waits for pieces from another daemon")
 def waiting(context):
     context.network = SilentNetwork()
 
 
-@when("the other one stops answering questions")
+@when("the other daemon stops answering probes")
 def silent(context):
     async def run():
         watch = PeerWatch(clock=EventLoopClock(), network=context.network)
@@ -183,7 +183,7 @@
             context.ended = False
             with watch.waiting_for(PEER) as scope:
                 await anyio.sleep(2.0)
-                context.waited_while_well = not scope.cancel_called
+                context.waited_while_alive = not scope.cancel_called
                 context.network.silent = True
                 began = anyio.current_time()
                 await anyio.sleep(10.0)
@@ -194,14 +194,14 @@
     run_virtual(run)
 
 
-@then("the wait ends within 1200 ms and the next decider is asked")
+@then("the wait ends within 1200 ms and the next decider is used")
 def check_silent(context):
-    assert context.waited_while_well
+    assert context.waited_while_alive
     assert context.took_ms < 1_200, context.took_ms
     assert "d2" in context.silent
 
 
-def _decider_world():
+def deployment_with_stage():
     deployment = Deployment(clock=EventLoopClock())
     spec = ServiceSpec(
         name="stage",
@@ -238,15 +238,15 @@
     return group
 
 
-@given("a decider with one group begun and one that waits")
+@given("a decider with one group started and one queued")
 def two_groups(context):
-    context.begun, context.waits = _group("begun"), _group("waits")
+    context.started, context.queued = _group("started"), _group("queued")
 
 
 @when("another daemon decides for the service")
 def another_decides(context):
     async def run():
-        deployment = _decider_world()
+        deployment = deployment_with_stage()
         decider = Decider(
             clock=EventLoopClock(),
             deployment=deployment,
@@ -254,7 +254,7 @@
             connections=NoConnections(),
             tracing=Tracing(daemon="d1"),
         )
-        context.given_back = []
+        context.returned = []
 
         async def make(group):
             name = group.tasks[0].piece.request_id
@@ -262,18 +262,18 @@
                 "stage", name, group, may_refuse=False, pinned=False
             )
             if answer is None:
-                context.given_back.append(name)
+                context.returned.append(name)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(decider.run)
             await anyio.sleep(0.01)
-            tasks.start_soon(make, context.begun)
-            tasks.start_soon(make, context.waits)
+            tasks.start_soon(make, context.started)
+            tasks.start_soon(make, context.queued)
             await anyio.sleep(0.01)
-            context.begun.begun = True
+            context.started.begun = True
             decider.hand_over(lambda service: True)
             await anyio.sleep(0.01)
-            context.kept = list(context.given_back)
+            context.returned_while_deciding = list(context.returned)
             decider.hand_over(lambda service: False)
             await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
@@ -281,37 +281,37 @@
     run_virtual(run)
 
 
-@then("the waiting group is given back and the begun one goes on")
+@then("the queued group is returned and the started one continues")
 def check_handed_over(context):
-    assert context.kept == []
-    assert context.given_back == ["waits"], context.given_back
+    assert context.returned_while_deciding == []
+    assert context.returned == ["queued"], context.returned
 
 
 class LateBody:
-    """An answer whose second event comes while the daemon was frozen."""
+    """An answer whose second event arrives while the daemon is frozen."""
 
     sent = True
 
-    def __init__(self, wait):
-        self._wait = wait
+    def __init__(self, timeout_scope):
+        self._timeout_scope = timeout_scope
 
     async def body(self):
         yield b"id: 1\ndata: a\n\n"
-        # As it wakes the timer fires first, then the bytes are read.
-        self._wait.cancel()
+        # When it resumes, the timer fires before the bytes are read.
+        self._timeout_scope.cancel()
         yield b"id: 2\ndata: b\n\n"
 
 
 class LateEnd(LateBody):
-    """An answer that ends while the daemon was frozen."""
+    """An answer that ends while the daemon is frozen."""
 
     async def body(self):
         yield b"id: 1\ndata: a\n\n"
-        self._wait.cancel()
+        self._timeout_scope.cancel()
 
 
 class WrittenReply:
-    """Keeps what a caller got; each write may be cancelled."""
+    """Stores what a caller receives; each write may be cancelled."""
 
     def __init__(self):
         self.data = b""
@@ -330,21 +330,21 @@
         self.ended = True
 
 
-@given("a stream that has ended as its time is over")
+@given("a stream that has ended at its time-out")
 def late_end(context):
     late_event(context)
     context.body = LateEnd
 
 
-@given("a stream of which an event is read after its time is over")
+@given("a stream of which an event is read after its time-out")
 def late_event(context):
     context.body = LateBody
     context.reply = WrittenReply()
     context.state = StreamState()
 
 
-@when("the attempt is ended for it")
-def ended_for_it(context):
+@when("the attempt is ended by the time-out")
+def ended_by_timeout(context):
     async def run():
         attempts = Attempts(
             clock=EventLoopClock(), dialect=PlatformDialect(), connections=None
@@ -356,13 +356,13 @@
             is_event_stream=True,
             load=None,
         )
-        with anyio.CancelScope() as wait:
+        with anyio.CancelScope() as timeout_scope:
             await attempts._pass_on(
-                context.body(wait),
+                context.body(timeout_scope),
                 verdict,
                 context.reply,
                 context.state,
-                wait=wait,
+                wait=timeout_scope,
                 gap_wait_ms=1_000.0,
                 on_first=lambda: None,
             )
@@ -370,7 +370,7 @@
     run_virtual(run)
 
 
-@then("all events that count as passed on were written")
+@then("all events that count as forwarded were written")
 def all_written(context):
     written = context.reply.data.count(b"id: ")
     assert context.state.last == written == context.state.events, (
@@ -379,6 +379,6 @@
     )
 
 
-@then("the caller's stream has its end")
+@then("the caller's stream is terminated")
 def check_ended(context):
     assert context.reply.ended
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -29,7 +29,7 @@
 from cactusdyke.serving.patience import CallerPatience
 from cactusdyke.serving.stage_queue import Backlog, Batch
 from cactusdyke.serving.stages import StageResults, StageRunner
-from features.steps.daemon_steps import _decider_world
+from features.steps.daemon_steps import deployment_with_stage
 from features.steps.serving_steps import HandClock, KnownBacklogs, route
 from features.steps.stage_queue_steps import MB, _queue, group, made, names
 from features.support import serving_values as values
@@ -458,7 +458,7 @@
     async def run():
         decider = Decider(
             clock=EventLoopClock(),
-            deployment=_decider_world(),
+            deployment=deployment_with_stage(),
             dialect=PlatformDialect(),
             connections=values.NoConnections(),
             tracing=Tracing(daemon="d1"),
