--- a/cactusdyke/serving/stages.py
+++ b/cactusdyke/serving/stages.py
@@ -27,8 +27,7 @@
     from cactusdyke.serving.request import ServingContext
 
 MIN_RETRY_AFTER_MS = 200
-"""About the time of one call; a piece refused for lack of memory finds none
-free any sooner."""
+"""About the time of one call; memory that a piece lacked is not freed sooner."""
 MAX_RETRY_AFTER_MS = 3_000.0
 LATE_HOLD_MS = 2_500.0
 """How long a late request is held back before it is refused. The queues that
@@ -366,16 +365,16 @@
     ) -> Result[StageMade, Failure]:
         request = context.request
         stage = context.route.stages[number]
-        input_stages = results.input_stages(number)
+        predecessors = results.input_stages(number)
         inputs = tuple(
-            h for n in input_stages for h in results.handles_by_stage[n]
+            h for n in predecessors for h in results.handles_by_stage[n]
         )
         pieces = tuple(
             Piece(
                 request_id=request.request_id,
                 stage=number,
                 number=piece,
-                key="" if input_stages else request.piece_key,
+                key="" if predecessors else request.piece_key,
                 inputs=inputs,
             )
             for piece in range(results.piece_count(number))
@@ -395,7 +394,7 @@
                 result_bytes=stage.result_bytes,
                 may_refuse=not results.handles_by_stage,
                 moved_bytes=self._transfer_bytes(context, results, number),
-                data_centre="" if input_stages else results.data_centre,
+                data_centre="" if predecessors else results.data_centre,
                 again=bool(results.partial_handles),
                 last_use_of=tuple(
                     StageInputs(
@@ -497,12 +496,12 @@
         These are its inputs, or its result for a stage without inputs.
         """
         stages = context.route.stages
-        input_stages = results.input_stages(number)
-        if not input_stages:
+        predecessors = results.input_stages(number)
+        if not predecessors:
             return stages[number].result_bytes
         return sum(
             results.piece_count(n) * stages[n].result_bytes
-            for n in input_stages
+            for n in predecessors
         )
 
     def _ms_after(
--- a/features/steps/body_memory_steps.py
+++ b/features/steps/body_memory_steps.py
@@ -23,7 +23,7 @@
 
 
 @given("bodies that hold nearly all of the memory for bodies")
-def nearly_full(context):
+def given_nearly_full_memory(context):
     context.memory = BodyMemory(clock=EventLoopClock())
 
 
@@ -71,7 +71,7 @@
 
 
 @then("it is read only after one of the others is answered")
-def check_body(context):
+def check_read_after_answer(context):
     assert list(context.read) == ["one"]
     assert 1.0 <= context.read["one"] < 1.1, context.read
 
@@ -82,7 +82,7 @@
 
 
 @then("both are read")
-def check_both(context):
+def check_both_read(context):
     assert sorted(context.read) == ["one", "two"], context.read
     assert max(context.read.values()) < 1.1, context.read
 
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -36,7 +36,7 @@
 from standins.virtual import run_virtual
 
 
-def _sink(context):
+def _create_sink(context):
     context.clock = HandClock()
     context.read_end, write_end = os.pipe()
     os.set_blocking(context.read_end, False)
@@ -45,7 +45,7 @@
     )
 
 
-def _lines(context):
+def _read_lines(context):
     data = b""
     while True:
         context.sink.flush()
@@ -58,12 +58,12 @@
 
 @given("a log sink on a pipe that is read")
 @given("a log sink on a pipe that is not read")
-def given_sink(context):
-    _sink(context)
+def given_log_sink(context):
+    _create_sink(context)
 
 
 @when("3000 lines of one kind come at once, and one more a second later")
-def storm(context):
+def log_burst(context):
     for number in range(3_000):
         context.sink(
             {
@@ -74,11 +74,11 @@
         )
     context.clock.ms += 1_000.0
     context.sink({"message_type": "CD4001:attempt_failed", "n": 3_000})
-    context.lines = _lines(context)
+    context.lines = _read_lines(context)
 
 
 @then("about 1000 of them are written and the rest is counted")
-def check_storm(context):
+def check_log_burst(context):
     written = [x for x in context.lines if x["event"].startswith("CD4001")]
     dropped = [x for x in context.lines if x["event"].startswith("CD1006")]
     assert 1_000 <= len(written) <= 1_002, len(written)
@@ -87,7 +87,7 @@
 
 
 @when("4 MB of lines come")
-def flood(context):
+def log_flood(context):
     began = time.monotonic()
     for number in range(4_000):
         context.clock.ms += 10.0
@@ -98,21 +98,21 @@
 
 
 @then("the sink returns at once and buffers a megabyte at most")
-def check_flood(context):
+def check_log_flood(context):
     assert context.took < 2.0, context.took
     assert context.sink._waiting_bytes <= 1 << 20
 
 
 @then("once the pipe is read it reports how many lines were lost")
-def check_lost(context):
-    lines = _lines(context)
+def check_lost_lines(context):
+    lines = _read_lines(context)
     lost = sum(x["lines"] for x in lines if x["event"].startswith("CD1006"))
     kept = sum(not x["event"].startswith("CD1006") for x in lines)
     assert lost > 2_000, lost
     assert lost + kept == 4_000
 
 
-class CutOffMembers:
+class PartitionedMembers:
     """Membership of a daemon that considers five others dead."""
 
     known_count = 6
@@ -122,10 +122,10 @@
 
 
 @given("a daemon that considers five others dead")
-def cut_off(context):
+def partitioned_daemon(context):
     context.view = MemberView(
         clock=HandClock(),
-        members=CutOffMembers(),
+        members=PartitionedMembers(),
         front_address="a:1",
         size=0,
         ready=lambda: True,
@@ -135,7 +135,7 @@
 
 
 @then("it still divides the retry budget among all of them")
-def check_cut_off(context):
+def check_believed_count(context):
     assert context.view.believed_count() == 6
 
 
@@ -169,12 +169,12 @@
 
 
 @given("a daemon that waits for pieces from another daemon")
-def waiting(context):
+def waiting_daemon(context):
     context.network = SilentNetwork()
 
 
 @when("the other daemon stops answering probes")
-def silent(context):
+def silence_decider(context):
     async def run():
         watch = PeerWatch(clock=EventLoopClock(), network=context.network)
         async with anyio.create_task_group() as tasks:
@@ -239,12 +239,12 @@
 
 
 @given("a decider with one group started and one queued")
-def two_groups(context):
+def given_two_groups(context):
     context.started, context.queued = _group("started"), _group("queued")
 
 
 @when("another daemon decides for the service")
-def another_decides(context):
+def other_daemon_decides(context):
     async def run():
         deployment = deployment_with_stage()
         decider = Decider(
@@ -287,7 +287,7 @@
     assert context.returned == ["queued"], context.returned
 
 
-class LateBody:
+class EventAtTimeout:
     """An answer whose second event arrives while the daemon is frozen."""
 
     sent = True
@@ -302,7 +302,7 @@
         yield b"id: 2\ndata: b\n\n"
 
 
-class LateEnd(LateBody):
+class EndAtTimeout(EventAtTimeout):
     """An answer that ends while the daemon is frozen."""
 
     async def body(self):
@@ -310,7 +310,7 @@
         self._timeout_scope.cancel()
 
 
-class WrittenReply:
+class RecordedReply:
     """Stores what a caller receives; each write may be cancelled."""
 
     def __init__(self):
@@ -331,15 +331,15 @@
 
 
 @given("a stream that has ended at its time-out")
-def late_end(context):
-    late_event(context)
-    context.body = LateEnd
+def end_at_timeout(context):
+    event_at_timeout(context)
+    context.body = EndAtTimeout
 
 
 @given("a stream of which an event is read after its time-out")
-def late_event(context):
-    context.body = LateBody
-    context.reply = WrittenReply()
+def event_at_timeout(context):
+    context.body = EventAtTimeout
+    context.reply = RecordedReply()
     context.state = StreamState()
 
 
@@ -371,7 +371,7 @@
 
 
 @then("all events that count as forwarded were written")
-def all_written(context):
+def check_all_written(context):
     written = context.reply.data.count(b"id: ")
     assert context.state.last == written == context.state.events, (
         context.state,
@@ -380,5 +380,5 @@
 
 
 @then("the caller's stream is terminated")
-def check_ended(context):
+def check_terminated(context):
     assert context.reply.ended
