--- a/cactusdyke/serving/dialect.py
+++ b/cactusdyke/serving/dialect.py
@@ -1,4 +1,4 @@
-"""Interface of the adapter that speaks to callers and backend servers."""
+"""Interface of the adapter for messages of callers and backend servers."""
 
 from __future__ import annotations
 
--- a/cactusdyke/serving/stages.py
+++ b/cactusdyke/serving/stages.py
@@ -27,7 +27,7 @@
     from cactusdyke.serving.request import ServingContext
 
 MIN_RETRY_AFTER_MS = 200
-"""About the time of one call; memory that a piece lacked is not freed sooner."""
+"""About the time of one call; memory is not freed any sooner than that."""
 MAX_RETRY_AFTER_MS = 3_000.0
 LATE_HOLD_MS = 2_500.0
 """How long a late request is held back before it is refused. The queues that
