--- a/bench/serving/case_i_customer_subsets.py
+++ b/bench/serving/case_i_customer_subsets.py
@@ -14,9 +14,9 @@
 from bench.naive.static_limits import OneBucket, StaticLimits
 from cactusdyke.clock import EventLoopClock
 from cactusdyke.configuration.model import Customer
-from cactusdyke.limits import account, holding, subsets
+from cactusdyke.limits import account, held_quota, subsets
 from cactusdyke.limits.limiter import Limiter
-from cactusdyke.limits.subsets import rank
+from cactusdyke.limits.subsets import rank_daemons
 from cactusdyke.routing.prefix_hints import PrefixHints
 from features.support import limits_fleet
 from features.support.limits_fleet import LimitsFleet
@@ -103,7 +103,7 @@
 
 def _measure(column: Column, size: Size) -> dict[str, Any]:
     with contextlib.ExitStack() as stack:
-        for module in (subsets, account, holding):
+        for module in (subsets, account, held_quota):
             _set(
                 stack,
                 module,
@@ -164,7 +164,7 @@
     static_lists = {
         c.name: tuple(
             d.name
-            for d in rank(c.name, tuple(fleet.daemons.values()))[
+            for d in rank_daemons(c.name, tuple(fleet.daemons.values()))[
                 : column.smallest or size.daemons
             ]
         )
--- a/cactusdyke/limits/__init__.py
+++ b/cactusdyke/limits/__init__.py
@@ -8,8 +8,12 @@
 from cactusdyke.configuration.in_force import InForce
 from cactusdyke.limits.customer_limits import CustomerLimits
 from cactusdyke.limits.fleet import FleetView, MembersFleet
-from cactusdyke.limits.ledger import Ledger
-from cactusdyke.limits.lending import LOANS_PATH, HttpLender, LoanHandler
+from cactusdyke.limits.quota_leases import (
+    QUOTA_LEASES_PATH,
+    HttpQuotaLeaseClient,
+    QuotaLeaseHandler,
+)
+from cactusdyke.limits.quota_owner import QuotaOwner
 from cactusdyke.limits.subsets import Subsets
 from cactusdyke.membership.members import Members
 from cactusdyke.observe.metrics import Metrics
@@ -32,7 +36,7 @@
     fleet = MembersFleet(members=app.service("membership", Members))
     view = FleetView(clock=app.clock, fleet=fleet)
     subsets = Subsets(view=view)
-    ledger = Ledger(
+    ledger = QuotaOwner(
         clock=app.clock,
         view=view,
         subsets=subsets,
@@ -42,10 +46,12 @@
         clock=app.clock,
         view=view,
         subsets=subsets,
-        ledger=ledger,
-        lender=HttpLender(network=app.network),
+        quota_owner=ledger,
+        lease_client=HttpQuotaLeaseClient(network=app.network),
         metrics=app.service("metrics", Metrics),
     )
     app.add_service("limits", limits)
-    app.add_route("POST", LOANS_PATH, LoanHandler(ledger=ledger).handle)
+    app.add_route(
+        "POST", QUOTA_LEASES_PATH, QuotaLeaseHandler(quota_owner=ledger).handle
+    )
     return ExtensionMetadata(version="1")
--- a/cactusdyke/limits/account.py
+++ b/cactusdyke/limits/account.py
@@ -14,20 +14,20 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TERM_MS = 2_000.0
-DEMAND_MEMORY_MS = 5_000.0
+LEASE_TERM_MS = 2_000.0
+DEMAND_RETENTION_MS = 5_000.0
 HEADROOM = 1.1
-SMALLEST_RATE = 2.0
-SPARE_SHARE = 0.25
-SEED_MS = 500.0
+MIN_FAIR_RATE = 2.0
+PREFETCH_SHARE = 0.25
+INITIAL_REFILL_MS = 500.0
 GROW_ABOVE = 1.0
 SHRINK_BELOW = 0.5
-COMFORTABLE = 0.75
+TARGET_RATE_PER_DAEMON = 0.75
 SHRINK_AFTER_MS = 60_000.0
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class QuotaRequest:
     """What a daemon asks of an owner for one customer.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Loan:
+class QuotaLease:
     """A part of a customer's limit, lent to one daemon for a term.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Lease:
+class _LeaseRecord:
     rate: float
     demand: float
     given_at: Instant
@@ -87,13 +87,13 @@
         # A full bucket would give the burst twice, an empty one would lock
         # out a customer that asks rarely; this start bounds both.
         self._tokens = min(
-            self._burst, max(1.0, rate * SEED_MS / MS_PER_SECOND)
+            self._burst, max(1.0, rate * INITIAL_REFILL_MS / MS_PER_SECOND)
         )
         self._settled_at = now
-        self._leases: dict[str, _Lease] = {}
+        self._leases: dict[str, _LeaseRecord] = {}
         self._size = SMALLEST_SUBSET
-        self._small_since: Instant | None = None
-        self._opened_at = now
+        self._oversized_since: Instant | None = None
+        self._created_at = now
 
     @property
     def size(self) -> int:
@@ -107,40 +107,40 @@
         self._burst = max(1.0, burst)
         self._tokens = min(self._tokens, self._burst)
 
-    def skip(self, now: Instant) -> None:
+    def skip_refill(self, now: Instant) -> None:
         """Lets time pass without refill, such as that of another owner."""
         self._settled_at = now
 
-    def lend(
-        self, holder: str, ask: Ask, now: Instant, *, daemons: int
-    ) -> Loan:
+    def grant(
+        self, holder: str, request: QuotaRequest, now: Instant, *, daemons: int
+    ) -> QuotaLease:
         """Lends a daemon what it needs, as far as it is there.
 
         Args:
             holder: The daemon's name.
-            ask: What it asks for.
+            request: What the daemon requests.
             now: The current instant.
             daemons: How many daemons serve.
         """
         self._settle(now)
         before = self._size
-        self._review_size(holder, ask, now, daemons)
+        self._update_size(holder, request, now, daemons)
         if self._size != before:
             events.log(
                 events.Event.CUSTOMER_SUBSET_CHANGED,
-                customer=ask.customer,
+                customer=request.customer,
                 size=self._size,
             )
-        fair = self._fair_rate(holder, ask)
-        rate = self._lend_rate(holder, ask, fair, now)
-        tokens = self._lend_tokens(ask)
-        return Loan(
-            customer=ask.customer,
+        fair = self._fair_rate(holder, request)
+        rate = self._grant_rate(holder, request, fair, now)
+        tokens = self._grant_tokens(request)
+        return QuotaLease(
+            customer=request.customer,
             tokens=tokens,
             rate=rate,
-            term_ms=TERM_MS,
+            term_ms=LEASE_TERM_MS,
             size=self._size,
-            retry_after_ms=self._retry_after_ms(ask, fair),
+            retry_after_ms=self._retry_after_ms(request, fair),
         )
 
     def _settle(self, now: Instant) -> None:
@@ -153,80 +153,80 @@
         self._leases = {
             holder: lease
             for holder, lease in self._leases.items()
-            if now - lease.given_at < DEMAND_MEMORY_MS
+            if now - lease.given_at < DEMAND_RETENTION_MS
         }
 
-    def _others(self, holder: str) -> list[_Lease]:
+    def _others(self, holder: str) -> list[_LeaseRecord]:
         return [x for name, x in self._leases.items() if name != holder]
 
-    def _fair_rate(self, holder: str, ask: Ask) -> float:
+    def _fair_rate(self, holder: str, request: QuotaRequest) -> float:
         others = [x.demand * HEADROOM for x in self._others(holder)]
-        return _fair_part(self._rate, ask.demand * HEADROOM, others)
+        return _fair_share(self._rate, request.demand * HEADROOM, others)
 
-    def _lend_rate(
-        self, holder: str, ask: Ask, fair: float, now: Instant
+    def _grant_rate(
+        self, holder: str, request: QuotaRequest, fair: float, now: Instant
     ) -> float:
         others = self._others(holder)
         taken = sum(x.rate for x in others if x.expires_at > now)
-        wanted = ask.demand * HEADROOM
+        wanted = request.demand * HEADROOM
         rate = min(wanted, fair, max(0.0, self._rate - taken))
-        if fair >= wanted or fair < SMALLEST_RATE:
+        if fair >= wanted or fair < MIN_FAIR_RATE:
             # While there is enough, or where only a request now and then
             # comes, a rate lapses unused while others are refused. Tokens
             # follow the requests exactly.
             rate = 0.0
-        self._leases[holder] = _Lease(
+        self._leases[holder] = _LeaseRecord(
             rate=rate,
-            demand=ask.demand,
+            demand=request.demand,
             given_at=now,
-            expires_at=now + TERM_MS,
+            expires_at=now + LEASE_TERM_MS,
         )
         return rate
 
-    def _lend_tokens(self, ask: Ask) -> int:
+    def _grant_tokens(self, request: QuotaRequest) -> int:
         there = max(0.0, self._tokens)
         # Some more while there is plenty, so that a busy daemon needs no
         # message for each request; a part only, as unspent tokens lapse.
-        coming = ask.demand * TERM_MS / MS_PER_SECOND
-        spare = math.floor(min(coming, there * SPARE_SHARE))
-        tokens = min(ask.waiting + spare, math.floor(there))
+        coming = request.demand * LEASE_TERM_MS / MS_PER_SECOND
+        spare = math.floor(min(coming, there * PREFETCH_SHARE))
+        tokens = min(request.waiting + spare, math.floor(there))
         self._tokens -= tokens
         return tokens
 
-    def _retry_after_ms(self, ask: Ask, fair: float) -> float:
+    def _retry_after_ms(self, request: QuotaRequest, fair: float) -> float:
         missing = max(0.0, 1.0 - self._tokens)
         rate = self._rate
-        if fair < ask.demand * HEADROOM:
+        if fair < request.demand * HEADROOM:
             # Others wait for the same tokens; a daemon that comes back for
             # its own part only is not refused again for one message each.
             missing = max(missing, 1.0)
             rate = fair
         return missing / max(rate, 1e-9) * MS_PER_SECOND
 
-    def _review_size(
-        self, holder: str, ask: Ask, now: Instant, daemons: int
+    def _update_size(
+        self, holder: str, request: QuotaRequest, now: Instant, daemons: int
     ) -> None:
         largest = max(SMALLEST_SUBSET, min(LARGEST_SUBSET, daemons))
-        if now - self._opened_at < DEMAND_MEMORY_MS:
+        if now - self._created_at < DEMAND_RETENTION_MS:
             # A new owner learns the size from the daemons that the last one
             # told it. Later on their word may be older than the owner's own.
-            self._size = max(self._size, min(ask.size, largest))
-        demand = ask.demand + sum(x.demand for x in self._others(holder))
+            self._size = max(self._size, min(request.size, largest))
+        demand = request.demand + sum(x.demand for x in self._others(holder))
         demand = min(demand, self._rate)
-        fitting = math.ceil(demand / COMFORTABLE)
+        fitting = math.ceil(demand / TARGET_RATE_PER_DAEMON)
         fitting = min(largest, max(SMALLEST_SUBSET, fitting))
         if demand > GROW_ABOVE * self._size:
             self._size = max(self._size, fitting)
         if demand >= SHRINK_BELOW * self._size or fitting >= self._size:
-            self._small_since = None
-        elif self._small_since is None:
-            self._small_since = now
-        elif now - self._small_since >= SHRINK_AFTER_MS:
+            self._oversized_since = None
+        elif self._oversized_since is None:
+            self._oversized_since = now
+        elif now - self._oversized_since >= SHRINK_AFTER_MS:
             self._size = fitting
-            self._small_since = None
+            self._oversized_since = None
 
 
-def _fair_part(total: float, own: float, others: Sequence[float]) -> float:
+def _fair_share(total: float, own: float, others: Sequence[float]) -> float:
     """Returns the max-min fair part of `total` for a demand of `own`."""
     rest = total
     wants = sorted([own, *others])
--- a/cactusdyke/limits/customer_limits.py
+++ b/cactusdyke/limits/customer_limits.py
@@ -14,24 +14,24 @@
 
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind
-from cactusdyke.limits.account import Ask, Loan
-from cactusdyke.limits.holding import Holding
-from cactusdyke.limits.ledger import REVIEW_MS, NotOwner
+from cactusdyke.limits.account import QuotaLease, QuotaRequest
+from cactusdyke.limits.held_quota import HeldQuota
 from cactusdyke.limits.limiter import Limiter
+from cactusdyke.limits.quota_owner import REVIEW_INTERVAL_MS, NotOwner
 
 if TYPE_CHECKING:
     from cactusdyke.clock import Clock
     from cactusdyke.configuration.model import Customer
     from cactusdyke.limits.fleet import FleetView
-    from cactusdyke.limits.ledger import Ledger
-    from cactusdyke.limits.lending import Lender
+    from cactusdyke.limits.quota_leases import QuotaLeaseClient
+    from cactusdyke.limits.quota_owner import QuotaOwner
     from cactusdyke.limits.subsets import Subsets
     from cactusdyke.observe.metrics import Metrics
 
 MAX_RETRY_AFTER_MS = 60_000.0
 FALLBACK_TERM_MS = 2_000.0
-FALLBACK_PAUSE_MS = 1_000.0
-FORGET_AFTER_MS = 600_000.0
+FALLBACK_RETRY_MS = 1_000.0
+IDLE_RETENTION_MS = 600_000.0
 
 
 class CustomerLimits(Limiter):
@@ -43,17 +43,17 @@
         clock: Clock,
         view: FleetView,
         subsets: Subsets,
-        ledger: Ledger,
-        lender: Lender,
+        quota_owner: QuotaOwner,
+        lease_client: QuotaLeaseClient,
         metrics: Metrics | None = None,
     ) -> None:
         self._clock = clock
         self._view = view
         self._subsets = subsets
-        self._ledger = ledger
-        self._lender = lender
+        self._quota_owner = quota_owner
+        self._lease_client = lease_client
         self._metrics = metrics
-        self._holdings: dict[str, Holding] = {}
+        self._held_quotas: dict[str, HeldQuota] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
@@ -62,31 +62,35 @@
             self._tasks = tasks
             try:
                 while True:
-                    self._ledger.review()
+                    self._quota_owner.review()
                     self._forget_idle()
-                    await self._clock.sleep(REVIEW_MS)
+                    await self._clock.sleep(REVIEW_INTERVAL_MS)
             finally:
                 self._tasks = None
 
     def subset_size(self, customer: str) -> int:
         """Returns how many daemons the customer's callers should use."""
-        owned = self._ledger.size(customer)
-        return owned or self._holding(customer).size
+        owned = self._quota_owner.subset_size(customer)
+        return owned or self._held_quota(customer).size
 
     async def admit(self, customer: Customer) -> Result[None, Failure]:
         """Takes one request from a customer's limit, or refuses it."""
-        holding = self._holding(customer.name)
+        holding = self._held_quota(customer.name)
         now = self._clock.now()
         holding.demand.count(now)
-        if holding.is_due(now):
-            self._renew(customer, holding)
-        admitted = holding.take(now) or await self._wait(customer, holding)
-        self._count(customer, admitted=admitted)
+        if holding.is_renewal_due(now):
+            self._renew_in_background(customer, holding)
+        admitted = holding.take(now) or await self._wait_for_tokens(
+            customer, holding
+        )
+        self._count_decision(customer, admitted=admitted)
         if admitted:
             return Ok(None)
         return Err(self._refusal(customer, holding))
 
-    async def _wait(self, customer: Customer, holding: Holding) -> bool:
+    async def _wait_for_tokens(
+        self, customer: Customer, holding: HeldQuota
+    ) -> bool:
         """Asks for more, together with the others that wait for it."""
         holding.waiting += 1
         try:
@@ -96,47 +100,49 @@
                     return True
                 if holding.is_refused(now):
                     return False
-                if holding.owner_lost:
+                if holding.owner_unreachable:
                     # Each question to a frozen owner costs a time-out, which
                     # callers would wait out; only the background asks on.
-                    self._fall_back(customer, holding)
-                    self._renew(customer, holding)
-                elif holding.asking is not None:
-                    await holding.asking.wait()
+                    self._use_fallback(customer, holding)
+                    self._renew_in_background(customer, holding)
+                elif holding.renewal is not None:
+                    await holding.renewal.wait()
                 else:
-                    await self._ask(customer, holding)
+                    await self._renew(customer, holding)
         finally:
             holding.waiting -= 1
 
-    def _renew(self, customer: Customer, holding: Holding) -> None:
-        if holding.asking is not None or self._tasks is None:
+    def _renew_in_background(
+        self, customer: Customer, holding: HeldQuota
+    ) -> None:
+        if holding.renewal is not None or self._tasks is None:
             return
-        holding.put_off(self._clock.now())
-        self._tasks.start_soon(self._ask, customer, holding)
+        holding.postpone_renewal(self._clock.now())
+        self._tasks.start_soon(self._renew, customer, holding)
 
-    async def _ask(self, customer: Customer, holding: Holding) -> None:
-        if holding.asking is not None:
+    async def _renew(self, customer: Customer, holding: HeldQuota) -> None:
+        if holding.renewal is not None:
             return
-        holding.asking = anyio.Event()
+        holding.renewal = anyio.Event()
         asked_at = self._clock.now()
         try:
-            loan = await self._borrow(customer, holding)
-            self._count_question(lent=loan is not None)
+            loan = await self._request_lease(customer, holding)
+            self._count_lease_request(lent=loan is not None)
             if loan is None:
-                self._lose_owner(customer, holding)
+                self._on_owner_unreachable(customer, holding)
             else:
-                holding.owner_lost = False
+                holding.owner_unreachable = False
                 now = self._clock.now()
-                holding.add(loan, asked_at=asked_at, now=now)
+                holding.add(loan, requested_at=asked_at, now=now)
         finally:
-            holding.asking.set()
-            holding.asking = None
+            holding.renewal.set()
+            holding.renewal = None
 
-    async def _borrow(
-        self, customer: Customer, holding: Holding
-    ) -> Loan | None:
+    async def _request_lease(
+        self, customer: Customer, holding: HeldQuota
+    ) -> QuotaLease | None:
         now = self._clock.now()
-        ask = Ask(
+        ask = QuotaRequest(
             customer=customer.name,
             waiting=holding.waiting,
             demand=holding.demand.per_second(now),
@@ -145,29 +151,35 @@
         own_name = self._view.own_name
         owner = self._subsets.owner(customer.name)
         if owner is None or owner.name == own_name:
-            return self._ledger.lend(own_name, ask).unwrap_or(None)
-        answer = await self._lender.borrow(owner.address, own_name, ask)
+            return self._quota_owner.grant(own_name, ask).unwrap_or(None)
+        answer = await self._lease_client.request_lease(
+            owner.address, own_name, ask
+        )
         match answer:
             case Ok(NotOwner(owner=str(address))):
                 # Two daemons see different fleets for a moment. Following
                 # the word of the one asked keeps the owners to those that
                 # believe it of themselves; once, as views may form a ring.
-                answer = await self._lender.borrow(address, own_name, ask)
+                answer = await self._lease_client.request_lease(
+                    address, own_name, ask
+                )
         match answer:
-            case Ok(Loan() as loan):
+            case Ok(QuotaLease() as loan):
                 return loan
             case _:
                 return None
 
-    def _lose_owner(self, customer: Customer, holding: Holding) -> None:
-        if not holding.owner_lost:
+    def _on_owner_unreachable(
+        self, customer: Customer, holding: HeldQuota
+    ) -> None:
+        if not holding.owner_unreachable:
             events.log(
                 events.Event.LIMIT_OWNER_UNREACHABLE, customer=customer.name
             )
-        holding.owner_lost = True
-        self._fall_back(customer, holding)
+        holding.owner_unreachable = True
+        self._use_fallback(customer, holding)
 
-    def _fall_back(self, customer: Customer, holding: Holding) -> None:
+    def _use_fallback(self, customer: Customer, holding: HeldQuota) -> None:
         """Lends itself an equal part while the owner can't be reached.
 
         All members' parts together make up the limit once more, so that the
@@ -177,19 +189,19 @@
         is_member = any(d.name == self._view.own_name for d in members)
         sharers = len(members) if is_member else len(self._view.serving)
         now = self._clock.now()
-        rate = customer.requests_per_second * self._view.scale
-        loan = Loan(
+        rate = customer.requests_per_second * self._view.visible_share
+        loan = QuotaLease(
             customer=customer.name,
             # A customer that asks rarely would find nothing grown yet.
-            tokens=int(is_member and holding.may_start_fallback(now)),
+            tokens=int(is_member and holding.take_fallback_token(now)),
             rate=rate / max(1, sharers),
             term_ms=FALLBACK_TERM_MS,
             size=holding.size,
-            retry_after_ms=FALLBACK_PAUSE_MS,
+            retry_after_ms=FALLBACK_RETRY_MS,
         )
-        holding.add(loan, asked_at=now, now=now)
+        holding.add(loan, requested_at=now, now=now)
 
-    def _refusal(self, customer: Customer, holding: Holding) -> Failure:
+    def _refusal(self, customer: Customer, holding: HeldQuota) -> Failure:
         wait_ms = holding.retry_after_ms(
             self._clock.now(), customer.requests_per_second
         )
@@ -199,26 +211,26 @@
             retry_after_ms=int(min(wait_ms, MAX_RETRY_AFTER_MS)) + 1,
         )
 
-    def _holding(self, customer: str) -> Holding:
-        if customer not in self._holdings:
+    def _held_quota(self, customer: str) -> HeldQuota:
+        if customer not in self._held_quotas:
             now = self._clock.now()
-            self._holdings[customer] = Holding(now=now)
-        return self._holdings[customer]
+            self._held_quotas[customer] = HeldQuota(now=now)
+        return self._held_quotas[customer]
 
     def _forget_idle(self) -> None:
         now = self._clock.now()
-        self._holdings = {
+        self._held_quotas = {
             name: holding
-            for name, holding in self._holdings.items()
-            if holding.waiting or holding.idle_ms(now) < FORGET_AFTER_MS
+            for name, holding in self._held_quotas.items()
+            if holding.waiting or holding.idle_ms(now) < IDLE_RETENTION_MS
         }
 
-    def _count_question(self, *, lent: bool) -> None:
+    def _count_lease_request(self, *, lent: bool) -> None:
         if self._metrics is not None:
             outcome = "lent" if lent else "unreachable"
             self._metrics.limit_questions.labels(outcome).inc()
 
-    def _count(self, customer: Customer, *, admitted: bool) -> None:
+    def _count_decision(self, customer: Customer, *, admitted: bool) -> None:
         if self._metrics is not None:
             decision = "admitted" if admitted else "limited"
             self._metrics.limit_decisions.labels(customer.name, decision).inc()
--- a/cactusdyke/limits/demand.py
+++ b/cactusdyke/limits/demand.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from cactusdyke.clock import Instant
 
-FADE_MS = 4_000.0
+DECAY_MS = 4_000.0
 
 
 class Demand:
@@ -22,14 +22,14 @@
 
     def count(self, now: Instant) -> None:
         """Counts one occurrence."""
-        self._fade(now)
+        self._decay(now)
         self._weight += 1.0
 
     def per_second(self, now: Instant) -> float:
         """Returns occurrences a second of late."""
-        self._fade(now)
-        return self._weight / (FADE_MS / MS_PER_SECOND)
+        self._decay(now)
+        return self._weight / (DECAY_MS / MS_PER_SECOND)
 
-    def _fade(self, now: Instant) -> None:
-        self._weight *= math.exp(-max(0.0, now - self._at) / FADE_MS)
+    def _decay(self, now: Instant) -> None:
+        self._weight *= math.exp(-max(0.0, now - self._at) / DECAY_MS)
         self._at = now
--- a/cactusdyke/limits/fair_admission.py
+++ b/cactusdyke/limits/fair_admission.py
@@ -15,7 +15,7 @@
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.limits.admission import Admission, Permit
 from cactusdyke.limits.fair_queue import FairQueue, Ticket
-from cactusdyke.limits.pools import Claim
+from cactusdyke.limits.pool_limits import Claim
 
 if TYPE_CHECKING:
     import random
@@ -23,22 +23,22 @@
 
     from cactusdyke.clock import Clock
     from cactusdyke.configuration.model import Pipeline
-    from cactusdyke.limits.pools import Pools
+    from cactusdyke.limits.pool_limits import PoolLimits
     from cactusdyke.observe.metrics import Metrics
     from cactusdyke.pipeline.request import RequestContext
 
-REVIEW_MS = 100.0
-SHED_EVERY_MS = 50.0
+REVIEW_INTERVAL_MS = 100.0
+SHED_INTERVAL_MS = 50.0
 MAX_WAITING = 1_000
 # Of the time that a request can spare it waits at most this part. Queues that
 # use all of it up make every request end at its deadline, where the smallest
 # delay makes it late.
-WAITING_SHARE = 0.75
-NEWCOMER_SHARE = 0.5
-SHORTEST_RETRY_MS = 100.0
-LONGEST_RETRY_MS = 10_000.0
+MAX_WAIT_SHARE = 0.75
+NEW_WAITER_SHARE = 0.5
+MIN_RETRY_MS = 100.0
+MAX_RETRY_MS = 10_000.0
 RETRY_SPREAD = 0.5
-SHED_EVENT_EVERY_MS = 1_000.0
+SHED_EVENT_INTERVAL_MS = 1_000.0
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -56,7 +56,7 @@
 
     target: str
     claim: Claim
-    start_by: Instant
+    latest_start: Instant
     accepted: bool = False
     decided: anyio.Event = attrs.field(factory=anyio.Event)
     refusal: Failure | None = None
@@ -71,18 +71,18 @@
         *,
         clock: Clock,
         rng: random.Random,
-        pools: Pools,
+        pool_limits: PoolLimits,
         metrics: Metrics | None = None,
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._pools = pools
+        self._pool_limits = pool_limits
         self._metrics = metrics
         self._queue: FairQueue[_Waiter] = FairQueue()
         self._waiting: collections.Counter[str] = collections.Counter()
-        self._some_wait = anyio.Event()
+        self._has_waiters = anyio.Event()
         self._shed_at: Instant = 0.0
-        self._told_at: Instant = -SHED_EVENT_EVERY_MS
+        self._logged_at: Instant = -SHED_EVENT_INTERVAL_MS
 
     @property
     def waiting(self) -> int:
@@ -91,26 +91,26 @@
 
     def used(self, pool: str) -> float:
         """Returns how many requests are at a pool, as expected."""
-        return self._pools.used(pool)
+        return self._pool_limits.used(pool)
 
     async def run(self) -> None:
         """Moves bounds and refuses late requests while any wait."""
         while True:
-            await self._some_wait.wait()
-            await self._clock.sleep(REVIEW_MS)
+            await self._has_waiters.wait()
+            await self._clock.sleep(REVIEW_INTERVAL_MS)
             if self._queue:
                 self._dispatch()
                 self._shed()
             else:
-                self._some_wait = anyio.Event()
+                self._has_waiters = anyio.Event()
 
     @contextlib.asynccontextmanager
     async def enter(
         self, context: RequestContext, pipeline: Pipeline
     ) -> AsyncIterator[Result[Permit, Failure]]:
         """Waits for a permit and holds it while the block runs."""
-        claim = self._pools.claim(context.configuration, pipeline)
-        refusal = await self._wait(context, pipeline, claim)
+        claim = self._pool_limits.estimate(context.configuration, pipeline)
+        refusal = await self._wait_for_permit(context, pipeline, claim)
         if refusal is not None:
             self._count_refusal(pipeline, refusal)
             yield Err(refusal)
@@ -118,17 +118,17 @@
         try:
             yield Ok(Permit(admitted_at=self._clock.now()))
         finally:
-            self._pools.leave(claim)
+            self._pool_limits.release(claim)
             self._dispatch()
 
-    async def _wait(
+    async def _wait_for_permit(
         self, context: RequestContext, pipeline: Pipeline, claim: Claim
     ) -> Failure | None:
         """Returns once the request may begin or is refused."""
         waiter = _Waiter(
             target=pipeline.name,
             claim=claim,
-            start_by=self._start_by(context, claim),
+            latest_start=self._latest_start(context, claim),
         )
         ticket = self._queue.add(
             waiter,
@@ -139,15 +139,15 @@
         )
         self._waiting[pipeline.name] += 1
         self._dispatch()
-        self._shed_sometimes()
+        self._shed_if_due()
         if self._queue:
-            self._some_wait.set()
+            self._has_waiters.set()
         try:
-            await self._decision(waiter)
+            await self._wait_for_decision(waiter)
         except BaseException:
             # The caller has left: its place or its permit must go with it.
             if waiter.admitted:
-                self._pools.leave(claim)
+                self._pool_limits.release(claim)
                 self._dispatch()
             raise
         finally:
@@ -155,19 +155,19 @@
                 self._drop(ticket)
         return waiter.refusal
 
-    def _start_by(self, context: RequestContext, claim: Claim) -> Instant:
+    def _latest_start(self, context: RequestContext, claim: Claim) -> Instant:
         now = self._clock.now()
         spare_ms = context.deadline - now - claim.late_ms
-        return now + max(0.0, spare_ms) * WAITING_SHARE
+        return now + max(0.0, spare_ms) * MAX_WAIT_SHARE
 
-    async def _decision(self, waiter: _Waiter) -> None:
+    async def _wait_for_decision(self, waiter: _Waiter) -> None:
         if waiter.decided.is_set():
             return
-        remaining = waiter.start_by - self._clock.now()
+        remaining = waiter.latest_start - self._clock.now()
         with self._clock.timeout(remaining):
             await waiter.decided.wait()
         if not waiter.decided.is_set():
-            waiter.refusal = self._late(SHORTEST_RETRY_MS)
+            waiter.refusal = self._overload_failure(MIN_RETRY_MS)
 
     def _dispatch(self) -> None:
         """Admits waiters in order, as far as their pools can take them."""
@@ -180,11 +180,11 @@
             if waiter.target in blocked_targets:
                 continue
             claim = waiter.claim
-            self._pools.move(claim)
+            self._pool_limits.adjust(claim)
             # Smaller requests behind must not take for ever what one ahead
             # of them waits for.
             free = blocked_pools.isdisjoint(claim.work_ms)
-            if free and self._pools.fits(claim):
+            if free and self._pool_limits.fits(claim):
                 self._admit(ticket)
             else:
                 blocked_targets.add(waiter.target)
@@ -192,16 +192,16 @@
 
     def _admit(self, ticket: Ticket[_Waiter]) -> None:
         self._queue.serve(ticket)
-        self._forget(ticket.item)
-        self._pools.enter(ticket.item.claim)
+        self._uncount(ticket.item)
+        self._pool_limits.acquire(ticket.item.claim)
         ticket.item.admitted = True
         ticket.item.decided.set()
 
-    def _shed_sometimes(self) -> None:
-        if self._clock.now() - self._shed_at >= SHED_EVERY_MS:
+    def _shed_if_due(self) -> None:
+        if self._clock.now() - self._shed_at >= SHED_INTERVAL_MS:
             self._shed()
         elif len(self._queue) > MAX_WAITING:
-            self._refuse(list(self._queue)[-1], LONGEST_RETRY_MS)
+            self._refuse(list(self._queue)[-1], MAX_RETRY_MS)
 
     def _shed(self) -> None:
         """Refuses each waiter that those ahead of it would make late.
@@ -219,16 +219,16 @@
             waiter = ticket.item
             claim = waiter.claim
             wait_ms = max(
-                ahead_ms.get(pool, 0.0) / self._pools.bound(pool)
+                ahead_ms.get(pool, 0.0) / self._pool_limits.limit(pool)
                 for pool in claim.work_ms
             )
-            spare_ms = waiter.start_by - now
+            spare_ms = waiter.latest_start - now
             if not waiter.accepted and index > last_accepted:
                 # Estimates waver. A newcomer at the end is taken with some
                 # of its time to spare, or many would wait only to be refused
                 # later. One that priority or share puts before others takes
                 # the place of these.
-                spare_ms *= NEWCOMER_SHARE
+                spare_ms *= NEW_WAITER_SHARE
             if wait_ms > spare_ms:
                 self._refuse(ticket, wait_ms - spare_ms)
                 continue
@@ -238,22 +238,22 @@
 
     def _drop(self, ticket: Ticket[_Waiter]) -> None:
         self._queue.drop(ticket)
-        self._forget(ticket.item)
+        self._uncount(ticket.item)
 
-    def _forget(self, waiter: _Waiter) -> None:
+    def _uncount(self, waiter: _Waiter) -> None:
         self._waiting[waiter.target] -= 1
         if not self._waiting[waiter.target]:
             del self._waiting[waiter.target]
 
     def _refuse(self, ticket: Ticket[_Waiter], late_ms: float) -> None:
         self._drop(ticket)
-        ticket.item.refusal = self._late(late_ms)
+        ticket.item.refusal = self._overload_failure(late_ms)
         ticket.item.decided.set()
 
-    def _late(self, late_ms: float) -> Failure:
+    def _overload_failure(self, retry_ms: float) -> Failure:
         # Spread out, so that those refused together don't return together.
         spread = 1.0 + self._rng.random() * RETRY_SPREAD
-        retry_ms = min(max(late_ms, SHORTEST_RETRY_MS), LONGEST_RETRY_MS)
+        retry_ms = min(max(retry_ms, MIN_RETRY_MS), MAX_RETRY_MS)
         return Failure(
             kind=FailureKind.OVERLOADED,
             detail="More requests are ahead than can end before the deadline",
@@ -264,8 +264,8 @@
         if self._metrics is not None:
             self._metrics.shed.labels(pipeline.name).inc()
         now = self._clock.now()
-        if now - self._told_at >= SHED_EVENT_EVERY_MS:
-            self._told_at = now
+        if now - self._logged_at >= SHED_EVENT_INTERVAL_MS:
+            self._logged_at = now
             events.log(
                 events.Event.OVERLOAD_SHED,
                 pipeline=pipeline.name,
--- a/cactusdyke/limits/fair_queue.py
+++ b/cactusdyke/limits/fair_queue.py
@@ -18,13 +18,13 @@
 
 ItemType = TypeVar("ItemType")
 
-SMALLEST_SHARE = 1e-6
+MIN_SHARE = 1e-6
 
 
 @attrs.frozen(kw_only=True, order=True)
-class _Place:
-    behind: int
-    stamp: float
+class _SortKey:
+    negated_priority: int
+    start_tag: float
     number: int
 
 
@@ -38,13 +38,13 @@
     """
 
     item: ItemType
-    place: _Place
+    place: _SortKey
 
 
 @attrs.define(kw_only=True)
-class _Level:
-    now: float = 0.0
-    ends: dict[str, float] = attrs.field(factory=dict)
+class _PriorityLevel:
+    virtual_time: float = 0.0
+    finish_tags: dict[str, float] = attrs.field(factory=dict)
 
 
 class FairQueue(Generic[ItemType]):
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self._tickets: list[Ticket[ItemType]] = []
-        self._levels: dict[int, _Level] = {}
+        self._levels: dict[int, _PriorityLevel] = {}
         self._count = 0
 
     def __len__(self) -> int:
@@ -79,32 +79,36 @@
             cost: What serving it takes, in any unit that all entries share.
             priority: Higher is served first, whatever the shares.
         """
-        level = self._levels.setdefault(priority, _Level())
-        stamp = max(level.now, level.ends.get(customer, 0.0))
-        level.ends[customer] = stamp + cost / max(share, SMALLEST_SHARE)
+        level = self._levels.setdefault(priority, _PriorityLevel())
+        stamp = max(level.virtual_time, level.finish_tags.get(customer, 0.0))
+        level.finish_tags[customer] = stamp + cost / max(share, MIN_SHARE)
         self._count += 1
         ticket = Ticket(
             item=item,
-            place=_Place(behind=-priority, stamp=stamp, number=self._count),
+            place=_SortKey(
+                negated_priority=-priority, start_tag=stamp, number=self._count
+            ),
         )
-        bisect.insort(self._tickets, ticket, key=_place)
+        bisect.insort(self._tickets, ticket, key=_sort_key)
         return ticket
 
     def serve(self, ticket: Ticket[ItemType]) -> None:
         """Takes an entry out to serve it, which moves virtual time on."""
         self.drop(ticket)
-        level = self._levels[-ticket.place.behind]
-        level.now = max(level.now, ticket.place.stamp)
+        level = self._levels[-ticket.place.negated_priority]
+        level.virtual_time = max(level.virtual_time, ticket.place.start_tag)
         # A customer whose entries all lie in the past needs no memory.
-        level.ends = {
-            name: end for name, end in level.ends.items() if end > level.now
+        level.finish_tags = {
+            name: end
+            for name, end in level.finish_tags.items()
+            if end > level.virtual_time
         }
 
     def drop(self, ticket: Ticket[ItemType]) -> None:
         """Takes an entry out without serving it."""
-        index = bisect.bisect_left(self._tickets, ticket.place, key=_place)
+        index = bisect.bisect_left(self._tickets, ticket.place, key=_sort_key)
         del self._tickets[index]
 
 
-def _place(ticket: Ticket[ItemType]) -> _Place:
+def _sort_key(ticket: Ticket[ItemType]) -> _SortKey:
     return ticket.place
--- a/cactusdyke/limits/fleet.py
+++ b/cactusdyke/limits/fleet.py
@@ -13,8 +13,8 @@
     from cactusdyke.clock import Clock, Instant
     from cactusdyke.membership.members import Members
 
-VIEW_AGE_MS = 250.0
-LOSS_MEMORY_MS = 30_000.0
+REFRESH_INTERVAL_MS = 250.0
+LOSS_RETENTION_MS = 30_000.0
 
 
 @attrs.frozen(kw_only=True)
@@ -89,7 +89,7 @@
     def __init__(self, *, clock: Clock, fleet: Fleet) -> None:
         self._clock = clock
         self._fleet = fleet
-        self._read_at: Instant = -VIEW_AGE_MS
+        self._read_at: Instant = -REFRESH_INTERVAL_MS
         self._serving: tuple[Daemon, ...] = ()
         self._lost: dict[str, Instant] = {}
         self._version = 0
@@ -111,7 +111,7 @@
         return self._serving
 
     @property
-    def scale(self) -> float:
+    def visible_share(self) -> float:
         """The share of the fleet that is seen, of what was seen lately.
 
         Two sides of a cut each see the other as lost. While they remember
@@ -123,21 +123,21 @@
 
     def _refresh(self) -> None:
         now = self._clock.now()
-        if now - self._read_at < VIEW_AGE_MS:
+        if now - self._read_at < REFRESH_INTERVAL_MS:
             return
         self._read_at = now
         serving = self._fleet.serving()
         if serving != self._serving:
-            self._note_losses(serving, now)
+            self._record_losses(serving, now)
             self._serving = serving
             self._version += 1
         self._lost = {
             name: at
             for name, at in self._lost.items()
-            if now - at < LOSS_MEMORY_MS
+            if now - at < LOSS_RETENTION_MS
         }
 
-    def _note_losses(self, serving: tuple[Daemon, ...], now: Instant) -> None:
+    def _record_losses(self, serving: tuple[Daemon, ...], now: Instant) -> None:
         names = {daemon.name for daemon in serving}
         planned = self._fleet.leaving()
         for daemon in self._serving:
--- a/cactusdyke/limits/overload.py
+++ b/cactusdyke/limits/overload.py
@@ -6,7 +6,7 @@
 
 from cactusdyke.application import ExtensionMetadata
 from cactusdyke.limits.fair_admission import FairAdmission
-from cactusdyke.limits.pools import Pools
+from cactusdyke.limits.pool_limits import PoolLimits
 from cactusdyke.membership.members import Members
 from cactusdyke.observe.metrics import Metrics
 from cactusdyke.pipeline.timings import Timings
@@ -21,7 +21,7 @@
     app.setup_extension("cactusdyke.membership.extension")
     app.setup_extension("cactusdyke.pipeline")
     members = app.service("membership", Members)
-    pools = Pools(
+    pools = PoolLimits(
         clock=app.clock,
         rng=app.rng,
         timings=app.service("timings", Timings),
@@ -31,7 +31,7 @@
     admission = FairAdmission(
         clock=app.clock,
         rng=app.rng,
-        pools=pools,
+        pool_limits=pools,
         metrics=app.service("metrics", Metrics),
     )
     app.add_service("admission", admission)
--- a/cactusdyke/limits/pools.py
+++ b/cactusdyke/limits/pool_limits.py
@@ -19,7 +19,7 @@
     from cactusdyke.pipeline.timings import Timings
     from cactusdyke.routing.router import Router
 
-SAMPLE = 32
+MAX_SAMPLED_SERVERS = 32
 
 
 @attrs.frozen(kw_only=True)
@@ -37,12 +37,12 @@
     total_ms: float
     late_ms: float
 
-    def part(self, pool: str) -> float:
+    def share(self, pool: str) -> float:
         """Returns the part of its time that the request is at a pool."""
         return self.work_ms[pool] / self.total_ms
 
 
-class Pools:
+class PoolLimits:
     """The concurrency of each pool at this daemon."""
 
     def __init__(
@@ -62,7 +62,9 @@
         self._pools: dict[str, PoolConcurrency] = {}
         self._configured: Mapping[str, Pool] = {}
 
-    def claim(self, configuration: Configuration, pipeline: Pipeline) -> Claim:
+    def estimate(
+        self, configuration: Configuration, pipeline: Pipeline
+    ) -> Claim:
         """Returns what a request of a pipeline takes."""
         self._configured = configuration.pools
         work: dict[str, float] = {}
@@ -81,48 +83,48 @@
         short = [
             name
             for name in claim.work_ms
-            if not self._pool(name).fits(claim.part(name))
+            if not self._pool(name).fits(claim.share(name))
         ]
         for name in short:
             self._router.mark_short(name)
         return not short
 
-    def enter(self, claim: Claim) -> None:
+    def acquire(self, claim: Claim) -> None:
         """Counts a request as under way."""
         for name in claim.work_ms:
-            self._pool(name).enter(claim.part(name))
+            self._pool(name).acquire(claim.share(name))
 
-    def leave(self, claim: Claim) -> None:
+    def release(self, claim: Claim) -> None:
         """Takes back what `enter` counted."""
         for name in claim.work_ms:
-            self._pool(name).leave(claim.part(name))
+            self._pool(name).release(claim.share(name))
 
-    def bound(self, pool: str) -> float:
+    def limit(self, pool: str) -> float:
         """Returns how many requests may be at a pool."""
-        return self._pool(pool).bound
+        return self._pool(pool).limit
 
     def used(self, pool: str) -> float:
         """Returns how many requests are at a pool, as expected."""
         return self._pool(pool).used
 
-    def move(self, claim: Claim) -> None:
+    def adjust(self, claim: Claim) -> None:
         """Moves the bounds of a claim's pools where they are due."""
         now = self._clock.now()
         for name, work_ms in claim.work_ms.items():
             concurrency = self._pool(name)
             pool = self._configured.get(name)
             if pool is not None and concurrency.is_due(now, work_ms):
-                concurrency.size(
+                concurrency.resize(
                     slots=self._slots(pool), daemons=self._daemons()
                 )
-                concurrency.move(now, pressure=self._pressure(pool))
+                concurrency.adjust(now, pressure=self._pressure(pool))
 
     def _pool(self, name: str) -> PoolConcurrency:
         if name not in self._pools:
             pool = self._configured.get(name)
             slots = self._slots(pool) if pool is not None else 0.0
             concurrency = PoolConcurrency(now=self._clock.now())
-            concurrency.size(slots=slots, daemons=self._daemons())
+            concurrency.resize(slots=slots, daemons=self._daemons())
             self._pools[name] = concurrency
         return self._pools[name]
 
@@ -138,8 +140,8 @@
     def _pressure(self, pool: Pool) -> float:
         """Returns what waits at a pool's backend servers, by slot."""
         servers = [s for s in pool.backend_servers if self._router.may_use(s)]
-        if len(servers) > SAMPLE:
-            servers = self._rng.sample(servers, SAMPLE)
+        if len(servers) > MAX_SAMPLED_SERVERS:
+            servers = self._rng.sample(servers, MAX_SAMPLED_SERVERS)
         slots = sum(server.slots for server in servers)
         waiting = sum(
             max(0.0, self._router.load.outstanding(s.name) - s.slots)
--- a/cactusdyke/limits/lending.py
+++ b/cactusdyke/limits/quota_leases.py
@@ -10,8 +10,8 @@
 from result import Err, Ok, Result
 
 from cactusdyke.errors import Failure, FailureKind
-from cactusdyke.limits.account import Ask, Loan
-from cactusdyke.limits.ledger import NotOwner
+from cactusdyke.limits.account import QuotaLease, QuotaRequest
+from cactusdyke.limits.quota_owner import NotOwner
 from cactusdyke.transport.messages import (
     JSON_TYPE,
     Request,
@@ -24,51 +24,51 @@
 from cactusdyke.util import structure
 
 if TYPE_CHECKING:
-    from cactusdyke.limits.ledger import Ledger
+    from cactusdyke.limits.quota_owner import QuotaOwner
     from cactusdyke.transport.network import Network
 
-LOANS_PATH = "/internal/v1/limits/loans"
-LOAN_TIMEOUT_MS = 300.0
+QUOTA_LEASES_PATH = "/internal/v1/limits/loans"
+LEASE_TIMEOUT_MS = 300.0
 
 
 @attrs.frozen(kw_only=True)
-class LoanBody:
+class QuotaLeaseBody:
     """The body of a question for a loan."""
 
     holder: str
-    ask: Ask
+    ask: QuotaRequest
 
 
-class Lender(abc.ABC):
+class QuotaLeaseClient(abc.ABC):
     """Reaches the daemons that own limits."""
 
     @abc.abstractmethod
-    async def borrow(
-        self, address: str, holder: str, ask: Ask
-    ) -> Result[Loan | NotOwner, Failure]:
+    async def request_lease(
+        self, address: str, holder: str, lease_request: QuotaRequest
+    ) -> Result[QuotaLease | NotOwner, Failure]:
         """Asks the daemon at an address; an error if it can't be reached."""
 
 
-class HttpLender(Lender):
+class HttpQuotaLeaseClient(QuotaLeaseClient):
     """Asks over HTTP with JSON."""
 
     def __init__(self, *, network: Network) -> None:
         self._network = network
 
-    async def borrow(
-        self, address: str, holder: str, ask: Ask
-    ) -> Result[Loan | NotOwner, Failure]:
+    async def request_lease(
+        self, address: str, holder: str, lease_request: QuotaRequest
+    ) -> Result[QuotaLease | NotOwner, Failure]:
         """Asks the daemon at an address."""
-        body = LoanBody(holder=holder, ask=ask)
+        body = QuotaLeaseBody(holder=holder, ask=lease_request)
         request = Request(
             method="POST",
-            path=LOANS_PATH,
+            path=QUOTA_LEASES_PATH,
             headers={"content-type": JSON_TYPE},
             body=orjson.dumps(attrs.asdict(body)),
         )
         options = CallOptions(
-            connect_timeout_ms=LOAN_TIMEOUT_MS,
-            progress_timeout_ms=LOAN_TIMEOUT_MS,
+            connect_timeout_ms=LEASE_TIMEOUT_MS,
+            progress_timeout_ms=LEASE_TIMEOUT_MS,
         )
         answer = await self._network.fetch(address, request, options)
         if isinstance(answer, Err):
@@ -76,35 +76,37 @@
         return _read_answer(answer.ok_value)
 
 
-class LoanHandler:
+class QuotaLeaseHandler:
     """Answers other daemons' questions from the ledger."""
 
-    def __init__(self, *, ledger: Ledger) -> None:
-        self._ledger = ledger
+    def __init__(self, *, quota_owner: QuotaOwner) -> None:
+        self._quota_owner = quota_owner
 
     async def handle(self, request: Request) -> Response:
         """Lends, or names the daemon that does."""
         value = request.json().and_then(
-            lambda value: structure.structure(value, LoanBody, name="loan")
+            lambda value: structure.structure(
+                value, QuotaLeaseBody, name="loan"
+            )
         )
         if isinstance(value, Err):
             return failure_response(value.err_value)
         body = value.ok_value
-        match self._ledger.lend(body.holder, body.ask):
+        match self._quota_owner.grant(body.holder, body.ask):
             case Ok(loan):
                 return json_response({"loan": attrs.asdict(loan)})
             case Err(elsewhere):
                 return json_response({"not_owner": attrs.asdict(elsewhere)})
 
 
-def _read_answer(response: Response) -> Result[Loan | NotOwner, Failure]:
+def _read_answer(response: Response) -> Result[QuotaLease | NotOwner, Failure]:
     assert isinstance(response.body, bytes)
     parsed = parse_object(response.body)
     if isinstance(parsed, Err):
         return parsed
     value: dict[str, Any] = parsed.ok_value
     if "loan" in value:
-        return structure.structure(value["loan"], Loan, name="loan")
+        return structure.structure(value["loan"], QuotaLease, name="loan")
     if "not_owner" in value:
         return structure.structure(
             value["not_owner"], NotOwner, name="not_owner"
--- a/cactusdyke/limits/ledger.py
+++ b/cactusdyke/limits/quota_owner.py
@@ -9,7 +9,7 @@
 
 from cactusdyke import events
 from cactusdyke.clock import Instant
-from cactusdyke.limits.account import Account, Ask, Loan
+from cactusdyke.limits.account import Account, QuotaLease, QuotaRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,9 +19,9 @@
     from cactusdyke.limits.fleet import FleetView
     from cactusdyke.limits.subsets import Subsets
 
-REVIEW_MS = 500.0
-PAUSE_MS = 2_000.0
-FORGET_AFTER_MS = 600_000.0
+REVIEW_INTERVAL_MS = 500.0
+PAUSE_THRESHOLD_MS = 2_000.0
+IDLE_RETENTION_MS = 600_000.0
 
 
 @attrs.frozen(kw_only=True)
@@ -42,7 +42,7 @@
     owned: bool = True
 
 
-class Ledger:
+class QuotaOwner:
     """Lends out limits for as long as this daemon is their owner."""
 
     def __init__(
@@ -61,21 +61,23 @@
         self._reviewed_at = clock.now()
         self._seen_version = -1
 
-    def owner(self, customer: str) -> str:
+    def owner_name(self, customer: str) -> str:
         """Returns the name of the daemon that lends the customer's limit."""
         owner = self._subsets.owner(customer)
         return owner.name if owner else self._view.own_name
 
-    def size(self, customer: str) -> int | None:
+    def subset_size(self, customer: str) -> int | None:
         """Returns the subset's size, if this daemon decides on it."""
         entry = self._entries.get(customer)
         return entry.account.size if entry and entry.owned else None
 
-    def lend(self, holder: str, ask: Ask) -> Result[Loan, NotOwner]:
+    def grant(
+        self, holder: str, request: QuotaRequest
+    ) -> Result[QuotaLease, NotOwner]:
         """Lends a daemon a part of a customer's limit."""
         self.review()
-        customer = self._find_customer(ask.customer)
-        owner = self._subsets.owner(ask.customer)
+        customer = self._find_customer(request.customer)
+        owner = self._subsets.owner(request.customer)
         if customer is None:
             return Err(NotOwner(owner=None))
         # Where every daemon is stopping none is listed, and each lends to
@@ -86,17 +88,17 @@
         entry = self._entry(customer, now)
         entry.used_at = now
         entry.account.configure(
-            rate=customer.requests_per_second * self._view.scale,
+            rate=customer.requests_per_second * self._view.visible_share,
             burst=customer.burst,
             now=now,
         )
         daemons = len(self._view.serving)
-        return Ok(entry.account.lend(holder, ask, now, daemons=daemons))
+        return Ok(entry.account.grant(holder, request, now, daemons=daemons))
 
     def review(self) -> None:
         """Notes pauses and changes of owner; call it every REVIEW_MS."""
         now = self._clock.now()
-        paused = now - self._reviewed_at > PAUSE_MS
+        paused = now - self._reviewed_at > PAUSE_THRESHOLD_MS
         if paused:
             events.log(
                 events.Event.LIMIT_OWNER_PAUSED,
@@ -115,14 +117,14 @@
     def _review_entry(
         self, name: str, entry: _Entry, now: Instant, *, paused: bool
     ) -> None:
-        owned = self.owner(name) == self._view.own_name
+        owned = self.owner_name(name) == self._view.own_name
         if paused or not (entry.owned and owned):
             # While this daemon was paused, or not the owner, another one
             # may have lent the same refill. It would be admitted twice if
             # the account grew for that time as well.
-            entry.account.skip(now)
+            entry.account.skip_refill(now)
         entry.owned = owned
-        if now - entry.used_at > FORGET_AFTER_MS:
+        if now - entry.used_at > IDLE_RETENTION_MS:
             del self._entries[name]
 
     def _entry(self, customer: Customer, now: Instant) -> _Entry:
@@ -130,7 +132,8 @@
         if entry is None:
             entry = _Entry(
                 account=Account(
-                    rate=customer.requests_per_second * self._view.scale,
+                    rate=customer.requests_per_second
+                    * self._view.visible_share,
                     burst=customer.burst,
                     now=now,
                 ),
--- a/cactusdyke/limits/subsets.py
+++ b/cactusdyke/limits/subsets.py
@@ -20,10 +20,12 @@
 
 SMALLEST_SUBSET = 6
 LARGEST_SUBSET = 64
-SPREAD_OVER = 3
+MIN_PLACES = 3
 
 
-def rank(customer: str, daemons: Sequence[Daemon]) -> tuple[Daemon, ...]:
+def rank_daemons(
+    customer: str, daemons: Sequence[Daemon]
+) -> tuple[Daemon, ...]:
     """Returns all daemons in the customer's order, the limit's owner first."""
     weighed = sorted(daemons, key=lambda daemon: _weight(customer, daemon))
     data_centre_cap = _cap(len({d.data_centre for d in daemons}))
@@ -63,7 +65,7 @@
             self._version = self._view.version
             self._orders.clear()
         if customer not in self._orders:
-            self._orders[customer] = rank(customer, serving)
+            self._orders[customer] = rank_daemons(customer, serving)
         return self._orders[customer]
 
     def owner(self, customer: str) -> Daemon | None:
@@ -82,4 +84,4 @@
 
 
 def _cap(places: int) -> int:
-    return math.ceil(SMALLEST_SUBSET / max(1, min(SPREAD_OVER, places)))
+    return math.ceil(SMALLEST_SUBSET / max(1, min(MIN_PLACES, places)))
--- a/features/steps/addresses_steps.py
+++ b/features/steps/addresses_steps.py
@@ -11,7 +11,7 @@
 
 from bench.serving import case_i_customer_subsets
 from cactusdyke.limits import subsets
-from cactusdyke.limits.account import Account, Ask
+from cactusdyke.limits.account import Account, QuotaRequest
 from cactusdyke.limits.fleet import Daemon
 from cactusdyke.limits.subsets import SMALLEST_SUBSET
 from cactusdyke.transport import address_list
@@ -175,8 +175,8 @@
 
 def _ask_until(context: Any, demand: float, since: float, until: float) -> None:
     for second in range(int(since), int(until) + 1):
-        ask = Ask(customer="customer", waiting=1, demand=demand)
-        context.account.lend("entry-1", ask, second * 1_000.0, daemons=100)
+        ask = QuotaRequest(customer="customer", waiting=1, demand=demand)
+        context.account.grant("entry-1", ask, second * 1_000.0, daemons=100)
 
 
 @when(
@@ -241,7 +241,7 @@
 @when("the lists of {count:d} customers are computed")
 def when_lists(context, count):
     names = [f"customer-{i}" for i in range(count)]
-    context.orders = {n: subsets.rank(n, context.fleet) for n in names}
+    context.orders = {n: subsets.rank_daemons(n, context.fleet) for n in names}
 
 
 @then(
@@ -270,7 +270,7 @@
     held = 0
     for name, order in context.orders.items():
         before = set(order[:SMALLEST_SUBSET])
-        after = set(subsets.rank(name, left)[:SMALLEST_SUBSET])
+        after = set(subsets.rank_daemons(name, left)[:SMALLEST_SUBSET])
         if gone in before:
             held += 1
             assert len(before - after) <= 2, (before, after)
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -20,7 +20,7 @@
 from cactusdyke.limits.admission import Admission
 from cactusdyke.limits.fair_admission import FairAdmission
 from cactusdyke.limits.fair_queue import FairQueue
-from cactusdyke.limits.pools import Pools
+from cactusdyke.limits.pool_limits import PoolLimits
 from cactusdyke.pipeline.request import RequestContext
 from cactusdyke.pipeline.timings import Timings
 from cactusdyke.routing.router import Router
@@ -60,7 +60,7 @@
     """One admission, and how each request at it ended, in order."""
 
     clock: Any
-    pools: Pools
+    pools: PoolLimits
     admission: FairAdmission
     ended: list[tuple[str, str, float]] = attrs.field(factory=list)
 
@@ -100,14 +100,14 @@
     async def run() -> Bench:
         clock = EventLoopClock()
         rng = random.Random(0)
-        pools = Pools(
+        pools = PoolLimits(
             clock=clock,
             rng=rng,
             timings=Timings(clock=clock),
             router=Router(clock=clock, rng=rng),
             daemons=lambda: 1,
         )
-        admission = FairAdmission(clock=clock, rng=rng, pools=pools)
+        admission = FairAdmission(clock=clock, rng=rng, pool_limits=pools)
         bench = Bench(clock, pools, admission)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(admission.run)
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -9,13 +9,13 @@
 
 from bench.naive.static_limits import NoLimits, StaticLimits
 from cactusdyke.limits import account, fleet
-from cactusdyke.limits.account import Loan
-from cactusdyke.limits.holding import Holding
+from cactusdyke.limits.account import QuotaLease
+from cactusdyke.limits.held_quota import HeldQuota
 from features.support import limits_fleet, limits_machine
 from features.support.limits_fleet import LimitsFleet, excess
 from standins.virtual import run_virtual
 
-TERM_S = account.TERM_MS / 1000.0
+TERM_S = account.LEASE_TERM_MS / 1000.0
 RUSH = 30.0
 
 
@@ -170,11 +170,11 @@
         last = next(n for n in world.daemons if n != owner)
         for name in world.daemons:
             if name != owner:
-                world.unseen.add((name, owner))
+                world.hidden.add((name, owner))
         await world.hub.clock.sleep(300)
         second = world.owner("customer", seen_by=last)
         caller = next(n for n in world.daemons if n not in (owner, second))
-        world.unseen.discard((second, owner))
+        world.hidden.discard((second, owner))
         await world.hub.clock.sleep(300)
         await world.offer(
             "customer", rate=5, duration_ms=20_000, choose=lambda: caller
@@ -182,7 +182,7 @@
         context.lenders = [
             name
             for name, running in world.running.items()
-            if running.ledger.size("customer") is not None
+            if running.quota_owner.subset_size("customer") is not None
         ]
         context.owner = owner
 
@@ -200,7 +200,7 @@
                 duration_ms=10_000,
                 choose=lambda: names[0],
             )
-            world.left.update(names[:3] if not world.left else names)
+            world.leaving.update(names[:3] if not world.leaving else names)
 
     context.world = _play(context, story)
 
@@ -212,16 +212,16 @@
 
 @when("a borrower of {tokens:d} tokens is frozen for {duration:d} seconds")
 def when_borrower_frozen(context, tokens, duration):
-    holding = Holding(now=0.0)
-    loan = Loan(
+    holding = HeldQuota(now=0.0)
+    loan = QuotaLease(
         customer="customer",
         tokens=tokens,
         rate=5.0,
-        term_ms=account.TERM_MS,
+        term_ms=account.LEASE_TERM_MS,
         size=6,
         retry_after_ms=0.0,
     )
-    holding.add(loan, asked_at=0.0, now=1.0)
+    holding.add(loan, requested_at=0.0, now=1.0)
     assert holding.take(2.0)
     context.taken = holding.take(duration * 1000.0)
 
@@ -256,12 +256,12 @@
 
 @then("with no memory of lost daemons it goes over by more than {most:d}")
 def then_forgetful_over(context, most):
-    remembered = fleet.LOSS_MEMORY_MS
-    fleet.LOSS_MEMORY_MS = 0.0
+    remembered = fleet.LOSS_RETENTION_MS
+    fleet.LOSS_RETENTION_MS = 0.0
     try:
         world = _play(context, context.story)
     finally:
-        fleet.LOSS_MEMORY_MS = remembered
+        fleet.LOSS_RETENTION_MS = remembered
     assert _over(context, world) > most, _over(context, world)
 
 
@@ -284,7 +284,7 @@
             requests_per_second=float(rate),
             burst=float(rate),
         )
-        context.since = world.now + account.TERM_MS
+        context.since = world.now + account.LEASE_TERM_MS
         await rush()
 
     context.lowered = float(rate)
--- a/features/support/limits_fleet.py
+++ b/features/support/limits_fleet.py
@@ -16,18 +16,21 @@
 from cactusdyke.configuration.model import Customer
 from cactusdyke.limits.customer_limits import CustomerLimits
 from cactusdyke.limits.fleet import Daemon, Fleet, FleetView
-from cactusdyke.limits.ledger import Ledger
-from cactusdyke.limits.lending import HttpLender, LoanHandler
 from cactusdyke.limits.limiter import Limiter
+from cactusdyke.limits.quota_leases import (
+    HttpQuotaLeaseClient,
+    QuotaLeaseHandler,
+)
+from cactusdyke.limits.quota_owner import QuotaOwner
 from cactusdyke.limits.subsets import Subsets
 from standins.hub import Hub
 
 SUSPECT_MS = 5_000.0
-HEAR_MS = 500.0
+EXCHANGE_INTERVAL_MS = 500.0
 
 
 @attrs.frozen(kw_only=True)
-class Admission:
+class AdmissionRecord:
     """How one request ended at a daemon."""
 
     at: float
@@ -36,7 +39,7 @@
     admitted: bool
 
 
-class _SeenFleet(Fleet):
+class _VisibleFleet(Fleet):
     def __init__(self, *, world: LimitsFleet, name: str) -> None:
         self._world = world
         self._name = name
@@ -49,7 +52,7 @@
         return self._world.seen_by(self._name)
 
     def leaving(self) -> frozenset[str]:
-        return frozenset(self._world.left)
+        return frozenset(self._world.leaving)
 
 
 @attrs.define(kw_only=True)
@@ -58,7 +61,7 @@
 
     limiter: Limiter
     subsets: Subsets | None
-    ledger: Ledger | None
+    quota_owner: QuotaOwner | None
     scope: anyio.CancelScope
 
 
@@ -91,24 +94,24 @@
         }
         self._all = tuple(self.daemons.values())
         self.running: dict[str, Running] = {}
-        self.left: set[str] = set()
+        self.leaving: set[str] = set()
         self.frozen: set[str] = set()
-        self.unseen: set[tuple[str, str]] = set()
+        self.hidden: set[tuple[str, str]] = set()
         self.cuts: set[tuple[str, str]] = set()
-        self.log: list[Admission] = []
+        self.log: list[AdmissionRecord] = []
         self.messages = 0
         self.shared: dict[str, Any] = {}
         self._delay_ms = delay_ms
         self._make_limiter = make_limiter
         self._subsets = subsets
-        self._heard: dict[str, dict[str, float]] = {}
+        self._last_seen: dict[str, dict[str, float]] = {}
         self._faulty = False
 
     async def __aenter__(self) -> LimitsFleet:
         await self.hub.__aenter__()
         for name in self.daemons:
             self.start(name)
-        self.hub.start(self._hear_forever)
+        self.hub.start(self._exchange_forever)
         return self
 
     async def __aexit__(self, *error: Any) -> None:
@@ -124,12 +127,12 @@
     def start(self, name: str) -> None:
         """Starts a daemon, empty as after any start."""
         now = self.hub.clock.now()
-        self._heard[name] = dict.fromkeys(self.daemons, now)
+        self._last_seen[name] = dict.fromkeys(self.daemons, now)
         scope = anyio.CancelScope()
         if self._make_limiter is not None:
             limiter = self._make_limiter(self, name)
             self.running[name] = Running(
-                limiter=limiter, subsets=None, ledger=None, scope=scope
+                limiter=limiter, subsets=None, quota_owner=None, scope=scope
             )
         else:
             self.running[name] = self._start_project(name, scope)
@@ -137,9 +140,11 @@
 
     def _start_project(self, name: str, scope: anyio.CancelScope) -> Running:
         clock = self.hub.clock_of(name)
-        view = FleetView(clock=clock, fleet=_SeenFleet(world=self, name=name))
+        view = FleetView(
+            clock=clock, fleet=_VisibleFleet(world=self, name=name)
+        )
         subsets = self._subsets(view=view)
-        ledger = Ledger(
+        ledger = QuotaOwner(
             clock=clock,
             view=view,
             subsets=subsets,
@@ -149,10 +154,10 @@
             clock=clock,
             view=view,
             subsets=subsets,
-            ledger=ledger,
-            lender=HttpLender(network=self.hub.network(name)),
+            quota_owner=ledger,
+            lease_client=HttpQuotaLeaseClient(network=self.hub.network(name)),
         )
-        handler = LoanHandler(ledger=ledger)
+        handler = QuotaLeaseHandler(quota_owner=ledger)
 
         async def counted(request: Any) -> Any:
             self.messages += 1
@@ -160,7 +165,7 @@
 
         self.hub.listen(self.daemons[name].address, counted, owner=name)
         return Running(
-            limiter=limiter, subsets=subsets, ledger=ledger, scope=scope
+            limiter=limiter, subsets=subsets, quota_owner=ledger, scope=scope
         )
 
     def kill(self, name: str) -> None:
@@ -197,15 +202,15 @@
 
     def seen_by(self, name: str) -> tuple[Daemon, ...]:
         """Returns the daemons that one daemon believes to serve."""
-        if not self._faulty and not self.unseen and not self.left:
+        if not self._faulty and not self.hidden and not self.leaving:
             return self._all
-        heard = self._heard[name]
+        heard = self._last_seen[name]
         now = self.now
         return tuple(
             daemon
             for other, daemon in self.daemons.items()
-            if (name, other) not in self.unseen
-            and other not in self.left
+            if (name, other) not in self.hidden
+            and other not in self.leaving
             and (
                 not self._faulty
                 or other == name
@@ -232,7 +237,7 @@
         if self.running.get(name) is not running:
             return None
         self.log.append(
-            Admission(
+            AdmissionRecord(
                 at=self.now,
                 customer=customer,
                 daemon=name,
@@ -284,20 +289,20 @@
         with running.scope:
             await running.limiter.run()
 
-    async def _hear_forever(self) -> None:
+    async def _exchange_forever(self) -> None:
         while True:
             if self._faulty:
-                self._hear()
+                self._exchange()
             else:
                 now = self.now
-                for heard in self._heard.values():
+                for heard in self._last_seen.values():
                     heard.update(dict.fromkeys(heard, now))
-            await self.hub.clock.sleep(HEAR_MS)
+            await self.hub.clock.sleep(EXCHANGE_INTERVAL_MS)
 
-    def _hear(self) -> None:
+    def _exchange(self) -> None:
         awake = [n for n in self.running if n not in self.frozen]
         for name in awake:
-            heard = self._heard[name]
+            heard = self._last_seen[name]
             reached = [name]
             for target in reached:
                 for source in awake:
@@ -330,7 +335,7 @@
     return worst
 
 
-def longest_refusal_ms(log: Sequence[Admission], customer: str) -> float:
+def longest_refusal_ms(log: Sequence[AdmissionRecord], customer: str) -> float:
     """Returns the longest time in which every request was refused."""
     longest = 0.0
     since: float | None = None
--- a/features/support/limits_machine.py
+++ b/features/support/limits_machine.py
@@ -19,8 +19,8 @@
     run_state_machine_as_test,
 )
 
-from cactusdyke.limits.account import SEED_MS, TERM_MS
-from cactusdyke.limits.fleet import LOSS_MEMORY_MS
+from cactusdyke.limits.account import INITIAL_REFILL_MS, LEASE_TERM_MS
+from cactusdyke.limits.fleet import LOSS_RETENTION_MS
 from cactusdyke.limits.limiter import Limiter
 from features.support import limits_fleet
 from features.support.limits_fleet import SUSPECT_MS, LimitsFleet
@@ -31,8 +31,8 @@
 QUIET_GAP_MS = 1_000.0
 # After a fault: what each daemon may fall back to until the membership has
 # noticed, one term of the last owner's loans, and two views of the fleet.
-BLIND_MS = SUSPECT_MS + TERM_MS + 1_000.0
-CALM_MS = SUSPECT_MS + LOSS_MEMORY_MS + 5_000.0
+UNDETECTED_FAULT_MS = SUSPECT_MS + LEASE_TERM_MS + 1_000.0
+CALM_MS = SUSPECT_MS + LOSS_RETENTION_MS + 5_000.0
 
 daemon_numbers = st.integers(0, DAEMONS - 1)
 customer_names = st.sampled_from(["large", "small"])
@@ -47,12 +47,12 @@
     rates: dict[str, list[tuple[float, float]]] = attrs.field(factory=dict)
     faults: list[float] = attrs.field(factory=list)
 
-    def change(self, customer: str, rate: float) -> None:
+    def record_limit(self, customer: str, rate: float) -> None:
         """Notes a limit from now on."""
         entry = (self.world.now, rate)
         self.rates.setdefault(customer, []).append(entry)
 
-    def fault(self) -> None:
+    def record_fault(self) -> None:
         """Notes that a fault began or ended."""
         self.faults.append(self.world.now)
 
@@ -69,9 +69,11 @@
     def allowance(self, customer: str) -> float:
         """Returns the stated error over the whole run."""
         rate = max(rate for _, rate in self.rates[customer])
-        each = rate * (BLIND_MS + SEED_MS) / 1000.0 + DAEMONS
+        each = (
+            rate * (UNDETECTED_FAULT_MS + INITIAL_REFILL_MS) / 1000.0 + DAEMONS
+        )
         changes = len(self.rates[customer])
-        term = rate * TERM_MS / 1000.0
+        term = rate * LEASE_TERM_MS / 1000.0
         return term * changes + each * len(self.faults) + 1.0
 
     def check(self) -> None:
@@ -152,7 +154,7 @@
         oracle = Oracle(world)
         async with world, anyio.create_task_group() as tasks:
             for name, (rate, _) in LIMITS.items():
-                oracle.change(name, rate)
+                oracle.record_limit(name, rate)
             tasks.start_soon(_quiet_customer, world, oracle)
             for step in self._script:
                 await _play(world, oracle, step)
@@ -185,21 +187,21 @@
                 choose=lambda: world.rng.choice(names),
             )
         case ("kill", name) if len(world.running) > 1:
-            oracle.fault()
+            oracle.record_fault()
             world.kill(names[name])
         case ("start", name) if names[name] not in world.running:
-            oracle.fault()
+            oracle.record_fault()
             world.start(names[name])
         case ("freeze", name, duration) if names[name] in world.running:
-            oracle.fault()
+            oracle.record_fault()
             world.freeze(names[name])
             await world.hub.clock.sleep(duration)
             world.wake(names[name])
-            oracle.fault()
+            oracle.record_fault()
         case ("cut" | "partition", sources, targets):
             await _cut(world, oracle, step[0], sources, targets)
         case ("change", customer, rate):
-            oracle.change(customer, rate)
+            oracle.record_limit(customer, rate)
             world.customers[customer] = attrs.evolve(
                 world.customers[customer], requests_per_second=rate
             )
@@ -217,7 +219,7 @@
     names = list(world.daemons)
     here = [names[i] for i in sources]
     there = [names[i] for i in targets if i not in sources]
-    oracle.fault()
+    oracle.record_fault()
     world.cut(here, there)
     if kind == "partition":
         world.cut(there, here)
@@ -228,7 +230,7 @@
         choose=lambda: world.rng.choice(names),
     )
     world.heal()
-    oracle.fault()
+    oracle.record_fault()
 
 
 def run(make_limiter: MakeLimiter | None, *, examples: int) -> None:
