--- a/cactusdyke/limits/__init__.py
+++ b/cactusdyke/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits by customer over all daemons, and which daemons a customer uses."""
+"""Per-customer request limits across all daemons, and customer subsets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def setup(app: Application) -> ExtensionMetadata:
-    """Registers the limits service and its route."""
+    """Registers the limits service and the route for quota leases."""
     app.setup_extension("cactusdyke.observe.extension")
     app.setup_extension("cactusdyke.configuration")
     app.setup_extension("cactusdyke.membership.extension")
@@ -36,7 +36,7 @@
     fleet = MembersFleet(members=app.service("membership", Members))
     view = FleetView(clock=app.clock, fleet=fleet)
     subsets = Subsets(view=view)
-    ledger = QuotaOwner(
+    quota_owner = QuotaOwner(
         clock=app.clock,
         view=view,
         subsets=subsets,
@@ -46,12 +46,14 @@
         clock=app.clock,
         view=view,
         subsets=subsets,
-        quota_owner=ledger,
+        quota_owner=quota_owner,
         lease_client=HttpQuotaLeaseClient(network=app.network),
         metrics=app.service("metrics", Metrics),
     )
     app.add_service("limits", limits)
     app.add_route(
-        "POST", QUOTA_LEASES_PATH, QuotaLeaseHandler(quota_owner=ledger).handle
+        "POST",
+        QUOTA_LEASES_PATH,
+        QuotaLeaseHandler(quota_owner=quota_owner).handle,
     )
     return ExtensionMetadata(version="1")
--- a/cactusdyke/limits/account.py
+++ b/cactusdyke/limits/account.py
@@ -1,4 +1,4 @@
-"""The owner's account of one customer's limit, lent out for short terms."""
+"""One customer's request limit at its owner, granted as short leases."""
 
 from __future__ import annotations
 
@@ -16,10 +16,14 @@
 
 LEASE_TERM_MS = 2_000.0
 DEMAND_RETENTION_MS = 5_000.0
+"""How long the owner counts the demand that a daemon has reported."""
 HEADROOM = 1.1
+"""Factor on reported demand when rates are divided."""
 MIN_FAIR_RATE = 2.0
 PREFETCH_SHARE = 0.25
 INITIAL_REFILL_MS = 500.0
+"""Time of refill that a new account starts with."""
+# Requests per second and daemon of the subset.
 GROW_ABOVE = 1.0
 SHRINK_BELOW = 0.5
 TARGET_RATE_PER_DAEMON = 0.75
@@ -28,13 +32,13 @@
 
 @attrs.frozen(kw_only=True)
 class QuotaRequest:
-    """What a daemon asks of an owner for one customer.
+    """A daemon's request for quota of one customer, sent to the owner.
 
     Attributes:
         customer: The customer's name.
-        waiting: Requests that wait for the answer.
-        demand: Requests a second that came to the daemon of late.
-        size: The subset's size that the daemon last heard of.
+        waiting: Queued requests that need a token from this lease.
+        demand: Recent arrival rate at the daemon, in requests per second.
+        size: Subset size in the daemon's latest lease.
     """
 
     customer: str
@@ -45,15 +49,16 @@
 
 @attrs.frozen(kw_only=True)
 class QuotaLease:
-    """A part of a customer's limit, lent to one daemon for a term.
+    """A part of a customer's limit, leased to one daemon for a term.
 
     Attributes:
         customer: The customer's name.
-        tokens: Requests that may be admitted at once.
-        rate: Requests a second that may be admitted on top.
-        term_ms: How long the loan lasts, in milliseconds.
-        size: How many daemons the customer's callers should use.
-        retry_after_ms: When more is likely to be there, in milliseconds.
+        tokens: Requests that may be admitted immediately.
+        rate: Additional requests that may be admitted per second.
+        term_ms: Validity of the lease, in milliseconds.
+        size: Number of daemons that the customer's callers should use.
+        retry_after_ms: Time until more tokens are likely to be available, in
+            milliseconds.
     """
 
     customer: str
@@ -68,24 +73,24 @@
 class _LeaseRecord:
     rate: float
     demand: float
-    given_at: Instant
+    granted_at: Instant
     expires_at: Instant
 
 
 class Account:
-    """A token bucket whose refill is lent out as rates.
+    """A token bucket whose refill is leased to daemons as tokens and rates.
 
-    What is admitted anywhere in a window of T is at most the burst, plus the
-    rate times T and one term: tokens and rates are both taken from the same
-    refill, and a lapsed loan is worth nothing.
+    All daemons together admit at most burst + rate * (T + one lease term) in
+    any window of length T: tokens and rates are taken from the same refill,
+    and an expired lease admits nothing.
     """
 
     def __init__(self, *, rate: float, burst: float, now: Instant) -> None:
         self._rate = rate
         self._burst = max(1.0, burst)
-        # An owner that takes over can't know what the one before has lent.
-        # A full bucket would give the burst twice, an empty one would lock
-        # out a customer that asks rarely; this start bounds both.
+        # A new owner does not see the leases of the previous owner. A full
+        # bucket would admit the burst twice, and an empty one would refuse a
+        # customer with few requests; this initial level limits both errors.
         self._tokens = min(
             self._burst, max(1.0, rate * INITIAL_REFILL_MS / MS_PER_SECOND)
         )
@@ -97,30 +102,30 @@
 
     @property
     def size(self) -> int:
-        """How many daemons the customer's callers should use."""
+        """Number of daemons that the customer's callers should use."""
         return self._size
 
     def configure(self, *, rate: float, burst: float, now: Instant) -> None:
-        """Takes over a changed limit; what is lent stays lent."""
+        """Applies a changed limit; leases already granted remain valid."""
         self._settle(now)
         self._rate = rate
         self._burst = max(1.0, burst)
         self._tokens = min(self._tokens, self._burst)
 
     def skip_refill(self, now: Instant) -> None:
-        """Lets time pass without refill, such as that of another owner."""
+        """Advances time without refill, e.g. while another daemon was owner."""
         self._settled_at = now
 
     def grant(
         self, holder: str, request: QuotaRequest, now: Instant, *, daemons: int
     ) -> QuotaLease:
-        """Lends a daemon what it needs, as far as it is there.
+        """Grants a daemon a lease, limited by the available quota.
 
         Args:
-            holder: The daemon's name.
-            request: What the daemon requests.
+            holder: Name of the requesting daemon.
+            request: The quota that the daemon requests.
             now: The current instant.
-            daemons: How many daemons serve.
+            daemons: Number of serving daemons.
         """
         self._settle(now)
         before = self._size
@@ -153,7 +158,7 @@
         self._leases = {
             holder: lease
             for holder, lease in self._leases.items()
-            if now - lease.given_at < DEMAND_RETENTION_MS
+            if now - lease.granted_at < DEMAND_RETENTION_MS
         }
 
     def _others(self, holder: str) -> list[_LeaseRecord]:
@@ -171,25 +176,26 @@
         wanted = request.demand * HEADROOM
         rate = min(wanted, fair, max(0.0, self._rate - taken))
         if fair >= wanted or fair < MIN_FAIR_RATE:
-            # While there is enough, or where only a request now and then
-            # comes, a rate lapses unused while others are refused. Tokens
-            # follow the requests exactly.
+            # With enough quota for all, or with rare requests, a leased rate
+            # would expire unused while other daemons refuse requests. Tokens
+            # are granted only for actual requests.
             rate = 0.0
         self._leases[holder] = _LeaseRecord(
             rate=rate,
             demand=request.demand,
-            given_at=now,
+            granted_at=now,
             expires_at=now + LEASE_TERM_MS,
         )
         return rate
 
     def _grant_tokens(self, request: QuotaRequest) -> int:
-        there = max(0.0, self._tokens)
-        # Some more while there is plenty, so that a busy daemon needs no
-        # message for each request; a part only, as unspent tokens lapse.
-        coming = request.demand * LEASE_TERM_MS / MS_PER_SECOND
-        spare = math.floor(min(coming, there * PREFETCH_SHARE))
-        tokens = min(request.waiting + spare, math.floor(there))
+        available = max(0.0, self._tokens)
+        # Extra tokens for requests expected within the term save a busy
+        # daemon one message per request. Only a share of the available
+        # tokens is granted, as unspent ones expire with the lease.
+        expected = request.demand * LEASE_TERM_MS / MS_PER_SECOND
+        extra = math.floor(min(expected, available * PREFETCH_SHARE))
+        tokens = min(request.waiting + extra, math.floor(available))
         self._tokens -= tokens
         return tokens
 
@@ -197,8 +203,9 @@
         missing = max(0.0, 1.0 - self._tokens)
         rate = self._rate
         if fair < request.demand * HEADROOM:
-            # Others wait for the same tokens; a daemon that comes back for
-            # its own part only is not refused again for one message each.
+            # Other daemons compete for the same tokens. Waiting until this
+            # daemon's fair share has refilled avoids repeated refusals that
+            # cost one message each.
             missing = max(missing, 1.0)
             rate = fair
         return missing / max(rate, 1e-9) * MS_PER_SECOND
@@ -208,8 +215,8 @@
     ) -> None:
         largest = max(SMALLEST_SUBSET, min(LARGEST_SUBSET, daemons))
         if now - self._created_at < DEMAND_RETENTION_MS:
-            # A new owner learns the size from the daemons that the last one
-            # told it. Later on their word may be older than the owner's own.
+            # A new owner takes the size from the daemons, which have it from
+            # the previous owner. Afterwards the owner's own value is newer.
             self._size = max(self._size, min(request.size, largest))
         demand = request.demand + sum(x.demand for x in self._others(holder))
         demand = min(demand, self._rate)
@@ -227,14 +234,14 @@
 
 
 def _fair_share(total: float, own: float, others: Sequence[float]) -> float:
-    """Returns the max-min fair part of `total` for a demand of `own`."""
+    """Returns the max-min fair share of `total` for a demand of `own`."""
     rest = total
-    wants = sorted([own, *others])
-    for index, want in enumerate(wants):
-        part = rest / (len(wants) - index)
-        if want >= part:
-            return part
-        rest -= want
-        if want >= own:
+    demands = sorted([own, *others])
+    for index, demand in enumerate(demands):
+        share = rest / (len(demands) - index)
+        if demand >= share:
+            return share
+        rest -= demand
+        if demand >= own:
             return own
     return own
--- a/cactusdyke/limits/admission.py
+++ b/cactusdyke/limits/admission.py
@@ -1,4 +1,4 @@
-"""Lets requests begin only where they can still end in time."""
+"""Admission control: refuses requests that cannot finish in time."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 
 @attrs.frozen(kw_only=True)
 class Permit:
-    """The right of one request to begin, held until it has ended.
+    """Permission for one request to run, held until the request has ended.
 
     Attributes:
-        admitted_at: Instant on this daemon's clock.
+        admitted_at: Time of admission on this daemon's clock, in
+            milliseconds.
     """
 
     admitted_at: Instant
 
 
 class Admission(Service, abc.ABC):
-    """Decides when a request may begin."""
+    """Decides when a request may start."""
 
     @abc.abstractmethod
     def enter(
@@ -40,18 +41,18 @@
     ) -> contextlib.AbstractAsyncContextManager[Result[Permit, Failure]]:
         """Waits for a permit and holds it while the block runs.
 
-        Refuses as soon as it is plain that the request would be late. A
+        Refuses a request as soon as it is expected to miss its deadline. A
         refused request has not run.
         """
 
 
 class OpenAdmission(Admission):
-    """Lets every request begin at once."""
+    """Admits every request immediately."""
 
     @contextlib.asynccontextmanager
     async def enter(
         self, context: RequestContext, pipeline: Pipeline
     ) -> AsyncIterator[Result[Permit, Failure]]:
-        """Gives a permit at once."""
+        """Yields a permit immediately."""
         del context, pipeline
         yield Ok(Permit(admitted_at=0.0))
--- a/cactusdyke/limits/customer_limits.py
+++ b/cactusdyke/limits/customer_limits.py
@@ -1,7 +1,7 @@
-"""Holds customers to their limits over all daemons, by loans from owners.
+"""Enforces customers' limits across all daemons with quota leases.
 
-The first daemon of a customer's order owns its limit and lends parts of it
-to whichever daemons its requests arrive at.
+The first daemon in a customer's order owns the customer's limit and leases
+parts of it to the daemons that receive the customer's requests.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class CustomerLimits(Limiter):
-    """Admits requests from what this daemon holds of each limit."""
+    """Admits requests within the quota that this daemon holds."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Reviews what is owned, and runs renewals in the background."""
+        """Updates owned limits, and runs lease renewals in the background."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             try:
@@ -69,140 +69,139 @@
                 self._tasks = None
 
     def subset_size(self, customer: str) -> int:
-        """Returns how many daemons the customer's callers should use."""
+        """Returns the number of daemons the customer's callers should use."""
         owned = self._quota_owner.subset_size(customer)
         return owned or self._held_quota(customer).size
 
     async def admit(self, customer: Customer) -> Result[None, Failure]:
         """Takes one request from a customer's limit, or refuses it."""
-        holding = self._held_quota(customer.name)
+        held = self._held_quota(customer.name)
         now = self._clock.now()
-        holding.demand.count(now)
-        if holding.is_renewal_due(now):
-            self._renew_in_background(customer, holding)
-        admitted = holding.take(now) or await self._wait_for_tokens(
-            customer, holding
-        )
+        held.demand.count(now)
+        if held.is_renewal_due(now):
+            self._renew_in_background(customer, held)
+        admitted = held.take(now) or await self._wait_for_tokens(customer, held)
         self._count_decision(customer, admitted=admitted)
         if admitted:
             return Ok(None)
-        return Err(self._refusal(customer, holding))
+        return Err(self._refusal(customer, held))
 
     async def _wait_for_tokens(
-        self, customer: Customer, holding: HeldQuota
+        self, customer: Customer, held: HeldQuota
     ) -> bool:
-        """Asks for more, together with the others that wait for it."""
-        holding.waiting += 1
+        """Waits for a token; concurrent requests share one lease request."""
+        held.waiting += 1
         try:
             while True:
                 now = self._clock.now()
-                if holding.take(now):
+                if held.take(now):
                     return True
-                if holding.is_refused(now):
+                if held.is_refused(now):
                     return False
-                if holding.owner_unreachable:
-                    # Each question to a frozen owner costs a time-out, which
-                    # callers would wait out; only the background asks on.
-                    self._use_fallback(customer, holding)
-                    self._renew_in_background(customer, holding)
-                elif holding.renewal is not None:
-                    await holding.renewal.wait()
+                if held.owner_unreachable:
+                    # Each lease request to an unresponsive owner costs a
+                    # time-out, for which callers would wait; only background
+                    # renewals keep trying.
+                    self._use_fallback(customer, held)
+                    self._renew_in_background(customer, held)
+                elif held.renewal is not None:
+                    await held.renewal.wait()
                 else:
-                    await self._renew(customer, holding)
+                    await self._renew(customer, held)
         finally:
-            holding.waiting -= 1
+            held.waiting -= 1
 
-    def _renew_in_background(
-        self, customer: Customer, holding: HeldQuota
-    ) -> None:
-        if holding.renewal is not None or self._tasks is None:
+    def _renew_in_background(self, customer: Customer, held: HeldQuota) -> None:
+        if held.renewal is not None or self._tasks is None:
             return
-        holding.postpone_renewal(self._clock.now())
-        self._tasks.start_soon(self._renew, customer, holding)
+        held.postpone_renewal(self._clock.now())
+        self._tasks.start_soon(self._renew, customer, held)
 
-    async def _renew(self, customer: Customer, holding: HeldQuota) -> None:
-        if holding.renewal is not None:
+    async def _renew(self, customer: Customer, held: HeldQuota) -> None:
+        if held.renewal is not None:
             return
-        holding.renewal = anyio.Event()
-        asked_at = self._clock.now()
+        held.renewal = anyio.Event()
+        requested_at = self._clock.now()
         try:
-            loan = await self._request_lease(customer, holding)
-            self._count_lease_request(lent=loan is not None)
-            if loan is None:
-                self._on_owner_unreachable(customer, holding)
+            lease = await self._request_lease(customer, held)
+            self._count_lease_request(granted=lease is not None)
+            if lease is None:
+                self._on_owner_unreachable(customer, held)
             else:
-                holding.owner_unreachable = False
+                held.owner_unreachable = False
                 now = self._clock.now()
-                holding.add(loan, requested_at=asked_at, now=now)
+                held.add(lease, requested_at=requested_at, now=now)
         finally:
-            holding.renewal.set()
-            holding.renewal = None
+            held.renewal.set()
+            held.renewal = None
 
     async def _request_lease(
-        self, customer: Customer, holding: HeldQuota
+        self, customer: Customer, held: HeldQuota
     ) -> QuotaLease | None:
         now = self._clock.now()
-        ask = QuotaRequest(
+        request = QuotaRequest(
             customer=customer.name,
-            waiting=holding.waiting,
-            demand=holding.demand.per_second(now),
-            size=holding.size,
+            waiting=held.waiting,
+            demand=held.demand.per_second(now),
+            size=held.size,
         )
         own_name = self._view.own_name
         owner = self._subsets.owner(customer.name)
         if owner is None or owner.name == own_name:
-            return self._quota_owner.grant(own_name, ask).unwrap_or(None)
+            return self._quota_owner.grant(own_name, request).unwrap_or(None)
         answer = await self._lease_client.request_lease(
-            owner.address, own_name, ask
+            owner.address, own_name, request
         )
         match answer:
             case Ok(NotOwner(owner=str(address))):
-                # Two daemons see different fleets for a moment. Following
-                # the word of the one asked keeps the owners to those that
-                # believe it of themselves; once, as views may form a ring.
+                # Two daemons can see different fleets for a moment. Following
+                # the redirect ensures that only a daemon that considers
+                # itself the owner grants leases. It is followed once, as
+                # differing views may redirect in a loop.
                 answer = await self._lease_client.request_lease(
-                    address, own_name, ask
+                    address, own_name, request
                 )
         match answer:
-            case Ok(QuotaLease() as loan):
-                return loan
+            case Ok(QuotaLease() as lease):
+                return lease
             case _:
                 return None
 
     def _on_owner_unreachable(
-        self, customer: Customer, holding: HeldQuota
+        self, customer: Customer, held: HeldQuota
     ) -> None:
-        if not holding.owner_unreachable:
+        if not held.owner_unreachable:
             events.log(
                 events.Event.LIMIT_OWNER_UNREACHABLE, customer=customer.name
             )
-        holding.owner_unreachable = True
-        self._use_fallback(customer, holding)
+        held.owner_unreachable = True
+        self._use_fallback(customer, held)
 
-    def _use_fallback(self, customer: Customer, holding: HeldQuota) -> None:
-        """Lends itself an equal part while the owner can't be reached.
+    def _use_fallback(self, customer: Customer, held: HeldQuota) -> None:
+        """Grants itself an equal share while the owner is unreachable.
 
-        All members' parts together make up the limit once more, so that the
-        error lasts only until the membership has found another owner.
+        The shares of all members add up to the limit a second time; this
+        excess ends once the membership has determined another owner.
         """
-        members = self._subsets.members(customer.name, holding.size)
+        members = self._subsets.members(customer.name, held.size)
         is_member = any(d.name == self._view.own_name for d in members)
-        sharers = len(members) if is_member else len(self._view.serving)
+        share_count = len(members) if is_member else len(self._view.serving)
         now = self._clock.now()
         rate = customer.requests_per_second * self._view.visible_share
-        loan = QuotaLease(
+        lease = QuotaLease(
             customer=customer.name,
-            # A customer that asks rarely would find nothing grown yet.
-            tokens=int(is_member and holding.take_fallback_token(now)),
-            rate=rate / max(1, sharers),
+            # For a customer with few requests the rate alone would not have
+            # accumulated a token yet.
+            tokens=int(is_member and held.take_fallback_token(now)),
+            rate=rate / max(1, share_count),
             term_ms=FALLBACK_TERM_MS,
-            size=holding.size,
+            size=held.size,
             retry_after_ms=FALLBACK_RETRY_MS,
         )
-        holding.add(loan, requested_at=now, now=now)
+        held.add(lease, requested_at=now, now=now)
 
-    def _refusal(self, customer: Customer, holding: HeldQuota) -> Failure:
-        wait_ms = holding.retry_after_ms(
+    def _refusal(self, customer: Customer, held: HeldQuota) -> Failure:
+        wait_ms = held.retry_after_ms(
             self._clock.now(), customer.requests_per_second
         )
         return Failure(
@@ -220,14 +219,14 @@
     def _forget_idle(self) -> None:
         now = self._clock.now()
         self._held_quotas = {
-            name: holding
-            for name, holding in self._held_quotas.items()
-            if holding.waiting or holding.idle_ms(now) < IDLE_RETENTION_MS
+            name: held
+            for name, held in self._held_quotas.items()
+            if held.waiting or held.idle_ms(now) < IDLE_RETENTION_MS
         }
 
-    def _count_lease_request(self, *, lent: bool) -> None:
+    def _count_lease_request(self, *, granted: bool) -> None:
         if self._metrics is not None:
-            outcome = "lent" if lent else "unreachable"
+            outcome = "lent" if granted else "unreachable"
             self._metrics.limit_questions.labels(outcome).inc()
 
     def _count_decision(self, customer: Customer, *, admitted: bool) -> None:
--- a/cactusdyke/limits/demand.py
+++ b/cactusdyke/limits/demand.py
@@ -1,4 +1,4 @@
-"""Measures how often something happens, with the past fading out."""
+"""Estimates an event rate with exponential decay."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class Demand:
-    """An exponentially fading rate."""
+    """Event rate with exponentially decaying weights."""
 
     def __init__(self, *, now: Instant) -> None:
         self._weight = 0.0
         self._at = now
 
     def count(self, now: Instant) -> None:
-        """Counts one occurrence."""
+        """Counts one event."""
         self._decay(now)
         self._weight += 1.0
 
     def per_second(self, now: Instant) -> float:
-        """Returns occurrences a second of late."""
+        """Returns the recent number of events per second."""
         self._decay(now)
         return self._weight / (DECAY_MS / MS_PER_SECOND)
 
--- a/cactusdyke/limits/fair_admission.py
+++ b/cactusdyke/limits/fair_admission.py
@@ -1,4 +1,4 @@
-"""Admission by what pools can take, in a short queue of fair shares."""
+"""Admission by pool concurrency, with a short fair queue."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
 REVIEW_INTERVAL_MS = 100.0
 SHED_INTERVAL_MS = 50.0
 MAX_WAITING = 1_000
-# Of the time that a request can spare it waits at most this part. Queues that
-# use all of it up make every request end at its deadline, where the smallest
-# delay makes it late.
+# Maximum share of a request's slack that it may spend in the queue. Using all
+# of the slack would make requests end just at their deadline, where any
+# further delay makes them miss it.
 MAX_WAIT_SHARE = 0.75
 NEW_WAITER_SHARE = 0.5
+"""Share of its slack that a new request at the end may be expected to wait."""
 MIN_RETRY_MS = 100.0
 MAX_RETRY_MS = 10_000.0
 RETRY_SPREAD = 0.5
@@ -43,15 +44,15 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _Waiter:
-    """A request that waits to begin.
+    """A queued request.
 
     Attributes:
-        target: The pipeline or service that it asks for.
-        claim: What it takes.
+        target: Name of the requested pipeline or service.
+        claim: Expected load of the request.
         start_by: Instant from which it would be late.
-        accepted: Whether it was found to be able to begin in time.
-        decided: Set once it is admitted or refused.
-        refusal: Why it was refused, None if it was admitted.
+        accepted: Whether an earlier check expected it to start in time.
+        decided: Set once the request is admitted or refused.
+        refusal: Cause of a refusal, None if the request was admitted.
     """
 
     target: str
@@ -64,7 +65,7 @@
 
 
 class FairAdmission(Admission):
-    """Admits by priority and fair share, and refuses what would be late."""
+    """Admits by priority and fair share; refuses what would be late."""
 
     def __init__(
         self,
@@ -86,15 +87,15 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait to begin."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def used(self, pool: str) -> float:
-        """Returns how many requests are at a pool, as expected."""
+        """Returns the expected number of requests at a pool."""
         return self._pool_limits.used(pool)
 
     async def run(self) -> None:
-        """Moves bounds and refuses late requests while any wait."""
+        """Adjusts limits and refuses late requests while any are queued."""
         while True:
             await self._has_waiters.wait()
             await self._clock.sleep(REVIEW_INTERVAL_MS)
@@ -124,7 +125,7 @@
     async def _wait_for_permit(
         self, context: RequestContext, pipeline: Pipeline, claim: Claim
     ) -> Failure | None:
-        """Returns once the request may begin or is refused."""
+        """Returns None once the request may start, else the refusal."""
         waiter = _Waiter(
             target=pipeline.name,
             claim=claim,
@@ -145,7 +146,8 @@
         try:
             await self._wait_for_decision(waiter)
         except BaseException:
-            # The caller has left: its place or its permit must go with it.
+            # The caller has disconnected; release its permit here, and its
+            # queue entry below.
             if waiter.admitted:
                 self._pool_limits.release(claim)
                 self._dispatch()
@@ -157,8 +159,8 @@
 
     def _latest_start(self, context: RequestContext, claim: Claim) -> Instant:
         now = self._clock.now()
-        spare_ms = context.deadline - now - claim.late_ms
-        return now + max(0.0, spare_ms) * MAX_WAIT_SHARE
+        slack_ms = context.deadline - now - claim.late_ms
+        return now + max(0.0, slack_ms) * MAX_WAIT_SHARE
 
     async def _wait_for_decision(self, waiter: _Waiter) -> None:
         if waiter.decided.is_set():
@@ -170,7 +172,7 @@
             waiter.refusal = self._overload_failure(MIN_RETRY_MS)
 
     def _dispatch(self) -> None:
-        """Admits waiters in order, as far as their pools can take them."""
+        """Admits queued requests in order, as their pools' limits permit."""
         blocked_targets: set[str] = set()
         blocked_pools: set[str] = set()
         for ticket in list(self._queue):
@@ -181,8 +183,8 @@
                 continue
             claim = waiter.claim
             self._pool_limits.adjust(claim)
-            # Smaller requests behind must not take for ever what one ahead
-            # of them waits for.
+            # Smaller requests behind a larger one must not keep taking the
+            # capacity that it waits for.
             free = blocked_pools.isdisjoint(claim.work_ms)
             if free and self._pool_limits.fits(claim):
                 self._admit(ticket)
@@ -204,10 +206,10 @@
             self._refuse(list(self._queue)[-1], MAX_RETRY_MS)
 
     def _shed(self) -> None:
-        """Refuses each waiter that those ahead of it would make late.
+        """Refuses queued requests that the requests ahead would make late.
 
-        What is ahead is served by priority and fair share, so that it is
-        the low priorities and those over their share who are refused.
+        The queue is ordered by priority and fair share, so that requests of
+        low priority and of customers over their share are refused first.
         """
         now = self._clock.now()
         self._shed_at = now
@@ -222,15 +224,15 @@
                 ahead_ms.get(pool, 0.0) / self._pool_limits.limit(pool)
                 for pool in claim.work_ms
             )
-            spare_ms = waiter.latest_start - now
+            slack_ms = waiter.latest_start - now
             if not waiter.accepted and index > last_accepted:
-                # Estimates waver. A newcomer at the end is taken with some
-                # of its time to spare, or many would wait only to be refused
-                # later. One that priority or share puts before others takes
-                # the place of these.
-                spare_ms *= NEW_WAITER_SHARE
-            if wait_ms > spare_ms:
-                self._refuse(ticket, wait_ms - spare_ms)
+                # Estimates fluctuate. A new request at the end of the queue
+                # needs a reserve of slack, or many would wait only to be
+                # refused later. A request that priority or share puts ahead
+                # of accepted ones needs none, as it displaces those.
+                slack_ms *= NEW_WAITER_SHARE
+            if wait_ms > slack_ms:
+                self._refuse(ticket, wait_ms - slack_ms)
                 continue
             waiter.accepted = True
             for pool, work_ms in claim.work_ms.items():
@@ -251,13 +253,14 @@
         ticket.item.decided.set()
 
     def _overload_failure(self, retry_ms: float) -> Failure:
-        # Spread out, so that those refused together don't return together.
-        spread = 1.0 + self._rng.random() * RETRY_SPREAD
-        retry_ms = min(max(retry_ms, MIN_RETRY_MS), MAX_RETRY_MS)
+        # Random jitter keeps requests refused together from returning
+        # together.
+        jitter = 1.0 + self._rng.random() * RETRY_SPREAD
+        clamped_ms = min(max(retry_ms, MIN_RETRY_MS), MAX_RETRY_MS)
         return Failure(
             kind=FailureKind.OVERLOADED,
-            detail="More requests are ahead than can end before the deadline",
-            retry_after_ms=int(retry_ms * spread),
+            detail="Requests queued ahead would delay it past its deadline",
+            retry_after_ms=int(clamped_ms * jitter),
         )
 
     def _count_refusal(self, pipeline: Pipeline, refusal: Failure) -> None:
--- a/cactusdyke/limits/fair_queue.py
+++ b/cactusdyke/limits/fair_queue.py
@@ -1,9 +1,9 @@
-"""A queue by priority, and by weighted fair shares among customers.
+"""A queue ordered by priority, and by weighted fair shares among customers.
 
-Start-time fair queueing: each entry is stamped when it is added, with the
-later of the queue's virtual time and the end of its customer's last entry.
-A customer with many entries stamps itself further and further back, so that
-one with few waits only for what is ahead of it in its own share.
+It implements start-time fair queueing: the start tag of an entry is the later
+of the queue's virtual time and the finish tag of its customer's last entry.
+The start tags of a customer with many entries move further into the future,
+so that a customer with few entries is served between them.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class Ticket(Generic[ItemType]):
-    """An entry's place in the queue.
+    """A queued entry.
 
     Attributes:
-        item: What was added.
-        place: Where it stands; smaller is served first.
+        item: The item that was added.
+        place: Sort key; the smallest is served first.
     """
 
     item: ItemType
@@ -48,7 +48,7 @@
 
 
 class FairQueue(Generic[ItemType]):
-    """Entries in the order in which they should be served."""
+    """Entries in the order in which they are to be served."""
 
     def __init__(self) -> None:
         self._tickets: list[Ticket[ItemType]] = []
@@ -73,11 +73,11 @@
         """Adds an entry.
 
         Args:
-            item: What is to be served.
-            customer: Whose it is.
+            item: The item to be served.
+            customer: Name of the customer that the item belongs to.
             share: The customer's weight among those of the same priority.
-            cost: What serving it takes, in any unit that all entries share.
-            priority: Higher is served first, whatever the shares.
+            cost: Cost of serving the item, in a unit common to all entries.
+            priority: Higher priorities are served first, whatever the shares.
         """
         level = self._levels.setdefault(priority, _PriorityLevel())
         stamp = max(level.virtual_time, level.finish_tags.get(customer, 0.0))
@@ -93,19 +93,19 @@
         return ticket
 
     def serve(self, ticket: Ticket[ItemType]) -> None:
-        """Takes an entry out to serve it, which moves virtual time on."""
+        """Removes an entry to serve it, and advances the virtual time."""
         self.drop(ticket)
         level = self._levels[-ticket.place.negated_priority]
         level.virtual_time = max(level.virtual_time, ticket.place.start_tag)
-        # A customer whose entries all lie in the past needs no memory.
+        # Finish tags not later than the virtual time have no effect.
         level.finish_tags = {
-            name: end
-            for name, end in level.finish_tags.items()
-            if end > level.virtual_time
+            name: tag
+            for name, tag in level.finish_tags.items()
+            if tag > level.virtual_time
         }
 
     def drop(self, ticket: Ticket[ItemType]) -> None:
-        """Takes an entry out without serving it."""
+        """Removes an entry without serving it."""
         index = bisect.bisect_left(self._tickets, ticket.place, key=_sort_key)
         del self._tickets[index]
 
--- a/cactusdyke/limits/fleet.py
+++ b/cactusdyke/limits/fleet.py
@@ -1,4 +1,4 @@
-"""The daemons that share the customers' limits, as seen from here."""
+"""This daemon's view of the daemons that share the customers' limits."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @attrs.frozen(kw_only=True)
 class Daemon:
-    """A daemon that callers may be sent to.
+    """A daemon that callers may be directed to.
 
     Attributes:
         name: The daemon's name.
-        address: Where it serves, `host:port`.
-        data_centre: Where it stands.
-        region: The region of its data centre.
+        address: Address for callers, `host:port`.
+        data_centre: The daemon's data centre.
+        region: The region of the data centre.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 
 class Fleet(abc.ABC):
-    """Which daemons there are."""
+    """Source of the fleet's membership."""
 
     @property
     @abc.abstractmethod
@@ -44,15 +44,15 @@
 
     @abc.abstractmethod
     def serving(self) -> tuple[Daemon, ...]:
-        """Returns the daemons that callers may be sent to."""
+        """Returns the daemons that callers may be directed to."""
 
     @abc.abstractmethod
     def leaving(self) -> frozenset[str]:
-        """Returns the names of daemons that said they are leaving."""
+        """Returns the names of daemons that announced their departure."""
 
 
 class MembersFleet(Fleet):
-    """The fleet as the membership service knows it."""
+    """The fleet according to the membership service."""
 
     def __init__(self, *, members: Members) -> None:
         self._members = members
@@ -63,7 +63,7 @@
         return self._members.own.name
 
     def serving(self) -> tuple[Daemon, ...]:
-        """Returns the daemons that callers may be sent to."""
+        """Returns the daemons that callers may be directed to."""
         return tuple(
             Daemon(
                 name=member.name,
@@ -75,7 +75,7 @@
         )
 
     def leaving(self) -> frozenset[str]:
-        """Returns the names of daemons that said they are leaving."""
+        """Returns the names of daemons that announced their departure."""
         return frozenset(
             member.name
             for member in self._members.all()
@@ -84,7 +84,7 @@
 
 
 class FleetView:
-    """The fleet, read at most a few times a second, and its late losses."""
+    """Cached view of the fleet and of recently lost daemons."""
 
     def __init__(self, *, clock: Clock, fleet: Fleet) -> None:
         self._clock = clock
@@ -101,21 +101,22 @@
 
     @property
     def version(self) -> int:
-        """Grows whenever the serving daemons change."""
+        """Number that increases whenever the serving daemons change."""
         return self._version
 
     @property
     def serving(self) -> tuple[Daemon, ...]:
-        """The daemons that callers may be sent to."""
+        """The daemons that callers may be directed to."""
         self._refresh()
         return self._serving
 
     @property
     def visible_share(self) -> float:
-        """The share of the fleet that is seen, of what was seen lately.
+        """Visible daemons as a share of visible and recently lost ones.
 
-        Two sides of a cut each see the other as lost. While they remember
-        each other, their shares of every limit add up to one.
+        In a network partition each side sees the other as lost. Within
+        `LOSS_RETENTION_MS` the shares of both sides add up to one, so that
+        together they do not exceed a limit.
         """
         self._refresh()
         seen = len(self._serving)
--- a/cactusdyke/limits/held_quota.py
+++ b/cactusdyke/limits/held_quota.py
@@ -1,4 +1,4 @@
-"""What a daemon holds of a customer's limit, until it lapses."""
+"""The quota of one customer that a daemon holds until its lease expires."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 MIN_REFUSAL_MS = 100.0
 RENEWAL_POINT = 0.5
+"""Share of the term after which a lease is due for renewal."""
 FALLBACK_TOKEN_INTERVAL_MS = 10_000.0
 
 
 class HeldQuota:
-    """Tokens and a rate of one customer, valid until their term ends."""
+    """Leased tokens and rate of one customer, valid until the lease expires."""
 
     def __init__(self, *, now: Instant) -> None:
         self.demand = Demand(now=now)
@@ -37,13 +38,14 @@
         self._fallback_at = -FALLBACK_TOKEN_INTERVAL_MS
 
     def idle_ms(self, now: Instant) -> float:
-        """Returns how long ago the last loan ended."""
+        """Returns the time since the last lease expired, in milliseconds."""
         return now - self._expires_at
 
     def take_fallback_token(self, now: Instant) -> bool:
-        """Returns whether a first token is due; true once in a while.
+        """Returns whether a fallback may start with one token.
 
-        A link that comes and goes would otherwise give a token each time.
+        It returns True at most once per `FALLBACK_TOKEN_INTERVAL_MS`, as an
+        unstable link would otherwise yield a token on each interruption.
         """
         if now - self._fallback_at < FALLBACK_TOKEN_INTERVAL_MS:
             return False
@@ -51,7 +53,7 @@
         return True
 
     def take(self, now: Instant) -> bool:
-        """Takes one token if there is one."""
+        """Takes one token if one is available."""
         self._settle(now)
         if self._tokens < 1.0:
             return False
@@ -61,13 +63,13 @@
     def add(
         self, lease: QuotaLease, *, requested_at: Instant, now: Instant
     ) -> None:
-        """Adds a loan that was asked for at `asked_at`."""
+        """Adds a lease that was requested at `requested_at`."""
         self._settle(now)
         self.size = lease.size
         self._rate = lease.rate
         self._term_ms = lease.term_ms
-        # The term counts from the question, as the owner counts it from a
-        # later instant: what it lends anew must not be held here as well.
+        # The term starts at the request. The owner counts it from a later
+        # instant, so quota that it grants again is no longer held here.
         self._expires_at = requested_at + lease.term_ms
         self._tokens += lease.tokens
         self._settled_at = now
@@ -76,33 +78,39 @@
             self._refused_until = now + _refusal_ms(lease)
 
     def is_refused(self, now: Instant) -> bool:
-        """Returns whether the owner said lately that there is no more."""
+        """Returns whether the last lease covered too few requests."""
         return now < self._refused_until
 
     def refuse(self, now: Instant) -> None:
-        """Stops questions for a moment."""
+        """Suspends lease requests for `MIN_REFUSAL_MS`."""
         self._refused_until = now + MIN_REFUSAL_MS
 
     def is_renewal_due(self, now: Instant) -> bool:
-        """Returns whether the rate that is held should be renewed."""
+        """Returns whether the leased rate should be renewed."""
         return self._rate > 0.0 and self._renew_at <= now < self._expires_at
 
     def postpone_renewal(self, now: Instant) -> None:
-        """Puts the next renewal off for a moment."""
+        """Postpones the next renewal by `MIN_REFUSAL_MS`."""
         self._renew_at = now + MIN_REFUSAL_MS
 
     def retry_after_ms(self, now: Instant, limit: float) -> float:
-        """Returns when a token is likely to be there."""
+        """Returns the expected time until a token is available.
+
+        Args:
+            now: The current instant.
+            limit: The customer's limit in requests per second, used while no
+                rate is leased.
+        """
         self._settle(now)
         rate = self._rate or limit
-        own = (1.0 - self._tokens) / max(rate, 1e-9) * MS_PER_SECOND
-        return max(self._refused_until - now, own)
+        refill_ms = (1.0 - self._tokens) / max(rate, 1e-9) * MS_PER_SECOND
+        return max(self._refused_until - now, refill_ms)
 
     def _settle(self, now: Instant) -> None:
         until = min(now, self._expires_at)
         grown = self._rate * max(0.0, until - self._settled_at)
-        # What is saved up stays below a term's worth, so that daemons
-        # can't hoard the limit and spend it all at once later.
+        # Unused tokens accumulate to at most one term's worth, so that
+        # daemons cannot save up quota and admit it all at once later.
         depth = max(1.0, self._rate * self._term_ms / MS_PER_SECOND)
         if grown > 0.0:
             self._tokens = max(
@@ -110,19 +118,20 @@
             )
         self._settled_at = now
         if now >= self._expires_at:
-            # A daemon that was frozen wakes with an old loan, which the
-            # owner has lent to others since; it must be worth nothing.
+            # A daemon that resumes after a suspension holds an expired lease,
+            # whose quota the owner may have granted to others since.
             self._tokens = 0.0
             self._rate = 0.0
 
 
-def _refusal_ms(loan: QuotaLease) -> float:
-    """Returns how long not to ask again after less than was asked for.
+def _refusal_ms(lease: QuotaLease) -> float:
+    """Returns the time without lease requests after a partial grant.
 
-    A customer far over its limit would otherwise cost a message for each
-    refused request. A daemon that holds a rate lives on that until then.
+    A customer far over its limit would otherwise cost one message per refused
+    request. A daemon with a leased rate admits requests at that rate
+    meanwhile.
     """
-    longest = loan.term_ms * RENEWAL_POINT
-    if loan.rate > 0.0:
+    longest = lease.term_ms * RENEWAL_POINT
+    if lease.rate > 0.0:
         return longest
-    return min(longest, max(MIN_REFUSAL_MS, loan.retry_after_ms))
+    return min(longest, max(MIN_REFUSAL_MS, lease.retry_after_ms))
--- a/cactusdyke/limits/limiter.py
+++ b/cactusdyke/limits/limiter.py
@@ -1,4 +1,4 @@
-"""What the rest of a daemon needs of the customers' limits."""
+"""The interface to customers' request limits."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Limiter(Service, abc.ABC):
-    """Holds customers to their limits."""
+    """Enforces the customers' request limits."""
 
     @abc.abstractmethod
     async def admit(self, customer: Customer) -> Result[None, Failure]:
         """Takes one request from a customer's limit, or refuses it."""
 
     def subset_size(self, customer: str) -> int:
-        """Returns how many daemons the customer's callers should use."""
+        """Returns the number of daemons the customer's callers should use."""
         del customer
         return LARGEST_SUBSET
--- a/cactusdyke/limits/overload.py
+++ b/cactusdyke/limits/overload.py
@@ -1,4 +1,4 @@
-"""The extension that admits requests and sheds overload."""
+"""The extension for admission control and load shedding."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     app.setup_extension("cactusdyke.membership.extension")
     app.setup_extension("cactusdyke.pipeline")
     members = app.service("membership", Members)
-    pools = PoolLimits(
+    pool_limits = PoolLimits(
         clock=app.clock,
         rng=app.rng,
         timings=app.service("timings", Timings),
@@ -31,7 +31,7 @@
     admission = FairAdmission(
         clock=app.clock,
         rng=app.rng,
-        pool_limits=pools,
+        pool_limits=pool_limits,
         metrics=app.service("metrics", Metrics),
     )
     app.add_service("admission", admission)
--- a/cactusdyke/limits/pool_limits.py
+++ b/cactusdyke/limits/pool_limits.py
@@ -1,4 +1,4 @@
-"""What a pipeline takes of its pools, and how much of them there is."""
+"""Expected load of requests on pools, and the pools' concurrency limits."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """What one request takes, as far as is known beforehand.
+    """Expected time that one request spends at its pools.
 
     Attributes:
-        work_ms: Time at each pool, in milliseconds.
-        total_ms: Time at all of them.
-        late_ms: Time at all of them if each stage is as slow as its slowest
-            of late, but for one in twenty.
+        work_ms: Expected time at each pool, in milliseconds.
+        total_ms: Sum over all pools, in milliseconds.
+        late_ms: Sum over all stages of the recent time that all but one in
+            twenty requests stay below, in milliseconds.
     """
 
     work_ms: Mapping[str, float]
@@ -38,12 +38,12 @@
     late_ms: float
 
     def share(self, pool: str) -> float:
-        """Returns the part of its time that the request is at a pool."""
+        """Returns the share of the request's time spent at a pool."""
         return self.work_ms[pool] / self.total_ms
 
 
 class PoolLimits:
-    """The concurrency of each pool at this daemon."""
+    """The concurrency limits of all pools at this daemon."""
 
     def __init__(
         self,
@@ -65,50 +65,50 @@
     def estimate(
         self, configuration: Configuration, pipeline: Pipeline
     ) -> Claim:
-        """Returns what a request of a pipeline takes."""
+        """Returns the expected load of a request to a pipeline."""
         self._configured = configuration.pools
         work: dict[str, float] = {}
         late_ms = 0.0
         for stage in pipeline.stages:
             name = (pipeline.name, stage.name)
             typical = self._timings.quantile(name, timings.TYPICAL)
-            took = stage.expected_ms if typical is None else typical
+            expected_ms = stage.expected_ms if typical is None else typical
             late = self._timings.quantile(name, timings.LATE)
-            work[stage.pool] = work.get(stage.pool, 0.0) + max(took, 0.1)
+            work[stage.pool] = work.get(stage.pool, 0.0) + max(expected_ms, 0.1)
             late_ms += stage.expected_ms if late is None else late
         return Claim(work_ms=work, total_ms=sum(work.values()), late_ms=late_ms)
 
     def fits(self, claim: Claim) -> bool:
-        """Returns whether a request may start now."""
-        short = [
+        """Returns whether a request may start; marks full pools in routing."""
+        full = [
             name
             for name in claim.work_ms
             if not self._pool(name).fits(claim.share(name))
         ]
-        for name in short:
+        for name in full:
             self._router.mark_short(name)
-        return not short
+        return not full
 
     def acquire(self, claim: Claim) -> None:
-        """Counts a request as under way."""
+        """Adds a request in flight."""
         for name in claim.work_ms:
             self._pool(name).acquire(claim.share(name))
 
     def release(self, claim: Claim) -> None:
-        """Takes back what `enter` counted."""
+        """Removes a request added by `acquire`."""
         for name in claim.work_ms:
             self._pool(name).release(claim.share(name))
 
     def limit(self, pool: str) -> float:
-        """Returns how many requests may be at a pool."""
+        """Returns the maximum number of concurrent requests at a pool."""
         return self._pool(pool).limit
 
     def used(self, pool: str) -> float:
-        """Returns how many requests are at a pool, as expected."""
+        """Returns the expected number of requests at a pool."""
         return self._pool(pool).used
 
     def adjust(self, claim: Claim) -> None:
-        """Moves the bounds of a claim's pools where they are due."""
+        """Adjusts the limits of a claim's pools where an adjustment is due."""
         now = self._clock.now()
         for name, work_ms in claim.work_ms.items():
             concurrency = self._pool(name)
@@ -138,13 +138,13 @@
         )
 
     def _pressure(self, pool: Pool) -> float:
-        """Returns what waits at a pool's backend servers, by slot."""
+        """Returns the requests queued at a pool's backend servers, per slot."""
         servers = [s for s in pool.backend_servers if self._router.may_use(s)]
         if len(servers) > MAX_SAMPLED_SERVERS:
             servers = self._rng.sample(servers, MAX_SAMPLED_SERVERS)
         slots = sum(server.slots for server in servers)
-        waiting = sum(
+        queued = sum(
             max(0.0, self._router.load.outstanding(s.name) - s.slots)
             for s in servers
         )
-        return waiting / max(1, slots)
+        return queued / max(1, slots)
--- a/cactusdyke/limits/quota_leases.py
+++ b/cactusdyke/limits/quota_leases.py
@@ -1,4 +1,4 @@
-"""Asks between daemons for a part of a customer's limit."""
+"""Requests between daemons for quota leases."""
 
 from __future__ import annotations
 
@@ -33,24 +33,24 @@
 
 @attrs.frozen(kw_only=True)
 class QuotaLeaseBody:
-    """The body of a question for a loan."""
+    """The body of a request for a quota lease."""
 
     holder: str
     ask: QuotaRequest
 
 
 class QuotaLeaseClient(abc.ABC):
-    """Reaches the daemons that own limits."""
+    """Requests quota leases from the daemons that own limits."""
 
     @abc.abstractmethod
     async def request_lease(
         self, address: str, holder: str, lease_request: QuotaRequest
     ) -> Result[QuotaLease | NotOwner, Failure]:
-        """Asks the daemon at an address; an error if it can't be reached."""
+        """Requests a lease from a daemon; an error if it is unreachable."""
 
 
 class HttpQuotaLeaseClient(QuotaLeaseClient):
-    """Asks over HTTP with JSON."""
+    """Requests quota leases over HTTP with JSON."""
 
     def __init__(self, *, network: Network) -> None:
         self._network = network
@@ -58,7 +58,7 @@
     async def request_lease(
         self, address: str, holder: str, lease_request: QuotaRequest
     ) -> Result[QuotaLease | NotOwner, Failure]:
-        """Asks the daemon at an address."""
+        """Requests a lease from the daemon at an address."""
         body = QuotaLeaseBody(holder=holder, ask=lease_request)
         request = Request(
             method="POST",
@@ -77,13 +77,13 @@
 
 
 class QuotaLeaseHandler:
-    """Answers other daemons' questions from the ledger."""
+    """Answers lease requests from other daemons."""
 
     def __init__(self, *, quota_owner: QuotaOwner) -> None:
         self._quota_owner = quota_owner
 
     async def handle(self, request: Request) -> Response:
-        """Lends, or names the daemon that does."""
+        """Grants a lease, or names the daemon that owns the limit."""
         value = request.json().and_then(
             lambda value: structure.structure(
                 value, QuotaLeaseBody, name="loan"
@@ -93,10 +93,10 @@
             return failure_response(value.err_value)
         body = value.ok_value
         match self._quota_owner.grant(body.holder, body.ask):
-            case Ok(loan):
-                return json_response({"loan": attrs.asdict(loan)})
-            case Err(elsewhere):
-                return json_response({"not_owner": attrs.asdict(elsewhere)})
+            case Ok(lease):
+                return json_response({"loan": attrs.asdict(lease)})
+            case Err(not_owner):
+                return json_response({"not_owner": attrs.asdict(not_owner)})
 
 
 def _read_answer(response: Response) -> Result[QuotaLease | NotOwner, Failure]:
@@ -114,6 +114,6 @@
     return Err(
         Failure(
             kind=FailureKind.INTERNAL,
-            detail="The answer to a question for a loan holds none",
+            detail="Quota lease response has neither `loan` nor `not_owner`",
         )
     )
--- a/cactusdyke/limits/quota_owner.py
+++ b/cactusdyke/limits/quota_owner.py
@@ -26,10 +26,10 @@
 
 @attrs.frozen(kw_only=True)
 class NotOwner:
-    """Another daemon lends this limit.
+    """Another daemon owns this customer's limit.
 
     Attributes:
-        owner: Its address, None if the customer is not known here.
+        owner: Address of the owner, None if the customer is unknown here.
     """
 
     owner: str | None
@@ -43,7 +43,7 @@
 
 
 class QuotaOwner:
-    """Lends out limits for as long as this daemon is their owner."""
+    """Grants quota leases for the limits that this daemon owns."""
 
     def __init__(
         self,
@@ -62,26 +62,27 @@
         self._seen_version = -1
 
     def owner_name(self, customer: str) -> str:
-        """Returns the name of the daemon that lends the customer's limit."""
+        """Returns the name of the daemon that owns the customer's limit."""
         owner = self._subsets.owner(customer)
         return owner.name if owner else self._view.own_name
 
     def subset_size(self, customer: str) -> int | None:
-        """Returns the subset's size, if this daemon decides on it."""
+        """Returns the subset's size, None if this daemon is not the owner."""
         entry = self._entries.get(customer)
         return entry.account.size if entry and entry.owned else None
 
     def grant(
         self, holder: str, request: QuotaRequest
     ) -> Result[QuotaLease, NotOwner]:
-        """Lends a daemon a part of a customer's limit."""
+        """Grants a daemon a lease on a part of a customer's limit."""
         self.review()
         customer = self._find_customer(request.customer)
         owner = self._subsets.owner(request.customer)
         if customer is None:
             return Err(NotOwner(owner=None))
-        # Where every daemon is stopping none is listed, and each lends to
-        # itself: callers that hold an old address are served until the end.
+        # While every daemon is stopping, none is listed as an owner and each
+        # grants leases to itself: callers with an old address are served
+        # until the daemon has stopped.
         if owner is not None and owner.name != self._view.own_name:
             return Err(NotOwner(owner=owner.address))
         now = self._clock.now()
@@ -96,7 +97,7 @@
         return Ok(entry.account.grant(holder, request, now, daemons=daemons))
 
     def review(self) -> None:
-        """Notes pauses and changes of owner; call it every REVIEW_MS."""
+        """Detects pauses and owner changes; runs every REVIEW_INTERVAL_MS."""
         now = self._clock.now()
         paused = now - self._reviewed_at > PAUSE_THRESHOLD_MS
         if paused:
@@ -119,9 +120,9 @@
     ) -> None:
         owned = self.owner_name(name) == self._view.own_name
         if paused or not (entry.owned and owned):
-            # While this daemon was paused, or not the owner, another one
-            # may have lent the same refill. It would be admitted twice if
-            # the account grew for that time as well.
+            # While this daemon was paused or not the owner, another daemon
+            # may have granted the same refill. It would be admitted twice if
+            # the account were refilled for that time.
             entry.account.skip_refill(now)
         entry.owned = owned
         if now - entry.used_at > IDLE_RETENTION_MS:
--- a/cactusdyke/limits/subsets.py
+++ b/cactusdyke/limits/subsets.py
@@ -1,8 +1,9 @@
-"""Which daemons serve a customer: a subset that only grows at its end.
+"""The subset of daemons that serves a customer.
 
-Every daemon computes the same order from the names alone, so that a list
-needs no agreement. The first ones are spread over data centres and regions;
-a larger subset is the smaller one with more daemons after it.
+Every daemon computes the same order from the names by rendezvous hashing, so
+that no agreement protocol is needed. The first daemons of an order are spread
+over data centres and regions. A subset is a prefix of the order, so that a
+larger one contains every smaller one.
 """
 
 from __future__ import annotations
@@ -21,23 +22,24 @@
 SMALLEST_SUBSET = 6
 LARGEST_SUBSET = 64
 MIN_PLACES = 3
+"""Data centres or regions over which the smallest subset is spread."""
 
 
 def rank_daemons(
     customer: str, daemons: Sequence[Daemon]
 ) -> tuple[Daemon, ...]:
     """Returns all daemons in the customer's order, the limit's owner first."""
-    weighed = sorted(daemons, key=lambda daemon: _weight(customer, daemon))
+    by_weight = sorted(daemons, key=lambda daemon: _weight(customer, daemon))
     data_centre_cap = _cap(len({d.data_centre for d in daemons}))
     region_cap = _cap(len({d.region for d in daemons}))
     data_centres: collections.Counter[str] = collections.Counter()
     regions: collections.Counter[str] = collections.Counter()
     first: list[Daemon] = []
     rest: list[Daemon] = []
-    for daemon in weighed:
-        # The loss of a data centre or region must leave the customer with
-        # daemons of its list, so none may hold more than its part of the
-        # smallest subset.
+    for daemon in by_weight:
+        # After the loss of a data centre or region the customer must still
+        # have daemons in its subset. Therefore none contributes more than its
+        # share to the smallest subset.
         fits = (
             len(first) < SMALLEST_SUBSET
             and data_centres[daemon.data_centre] < data_centre_cap
@@ -51,7 +53,7 @@
 
 
 class Subsets:
-    """The customers' orders over the fleet as it is seen now."""
+    """The customers' daemon orders for the current view of the fleet."""
 
     def __init__(self, *, view: FleetView) -> None:
         self._view = view
@@ -69,7 +71,7 @@
         return self._orders[customer]
 
     def owner(self, customer: str) -> Daemon | None:
-        """Returns the daemon that lends out the customer's limit."""
+        """Returns the daemon that owns the customer's limit."""
         order = self.order(customer)
         return order[0] if order else None
 
