--- a/features/limits/admission.feature
+++ b/features/limits/admission.feature
@@ -1,68 +1,68 @@
-Feature: admission sheds what would be late, by priority and fair share
+Feature: admission refuses late requests by priority and fair share
 
   Scenario: a burst at three times the capacity
-    # Crews of five customers send three times what the engines can run. If
-    # all of it begins at once, everything waits at the engines until it is
-    # late. What can't end in time is refused at once, not run, and told when
-    # to come back; the rest is answered in time.
+    # Five customers send three times what the engines can run. Without
+    # admission control all requests queue at the engines until they are late.
+    # Requests that cannot end in time must be refused immediately, without
+    # having run and with a retry time; the others are answered in time.
     When the admission bench runs its burst in its tiny size
-    Then nothing was late and every refusal was true and said when to return
-    And half of those refused learned it within 500 ms
+    Then no request was late and every refusal was correct with a retry time
+    And half of the refusals were sent within 500 ms
     And the naive admission answered late or not at all
 
-  Scenario: one greedy customer takes nothing from the others
-    # A script of one customer sends three times the capacity; four others go
-    # on as every day. Without shares their requests wait behind the script's.
+  Scenario: one greedy customer does not affect the others
+    # One customer sends three times the capacity, four others their usual load.
+    # Without fair shares their requests wait behind those of the first.
     When the admission bench runs its greedy customer in its tiny size
-    Then the others lose nothing with the project's admission
-    And the others lose with the naive admission
+    Then the others keep full attainment with the project's admission
+    And the others lose attainment with the naive admission
 
   Scenario: a small customer is served between a large one's requests
-    # A planner asks one question while a buyer's script has forty waiting.
+    # One customer sends a single request while another has forty queued.
     Given an admission for one request at a time
-    When "large" has 40 requests waiting and "small" asks once
+    When "large" has 40 requests waiting and "small" sends one
     Then "small" is served after at most 2 requests of "large"
 
   Scenario: low priority is shed first
-    # Night reports and flagger summaries compete for one engine. Those
-    # refused must be the reports, also when the reports were there first.
+    # Requests of two priorities compete for one engine. Those of low priority
+    # must be refused, even if they arrived first.
     Given an admission for one request at a time
     When 20 requests of priority 0 wait and then 20 of priority 5
     Then every request of priority 5 that could end in time was served first
     And only requests of priority 0 were refused before the others began
 
-  Scenario: callers that leave give up their place and their permit
-    # Half of the callers hang up, some while they wait and some while they
-    # are served. Places and permits that stay behind would shrink what the
-    # daemon admits until it admits nothing.
+  Scenario: callers that disconnect release their queue entry and permit
+    # Callers disconnect, some while queued and some while served. Queue entries
+    # and permits that are not released would reduce what the daemon admits
+    # until it admits nothing.
     Given an admission for one request at a time
-    When 10 callers wait and all of them leave
-    Then the admission holds no place and no permit
+    When 10 callers wait and all of them disconnect
+    Then the admission has no queue entry and no permit in use
     And the next request is admitted at once
 
-  Scenario: a pool that is full holds up nobody who does not need it
-    # The engines are full and forty summaries wait for them. A lookup that
-    # only needs the retrievers must not wait behind these.
+  Scenario: a full pool delays only requests that need it
+    # The engines are full and forty requests wait for them. A request that
+    # needs only the retrievers must not wait behind these.
     Given an admission for one request at a time
     When "large" has 40 requests waiting and a lookup needs another pool
     Then the lookup is admitted at once
 
   Scenario: a caller that leaves before it reads its stream frees its permit
-    # The connection breaks between the answer's head and the first token.
-    # Nobody iterates over the body, so nothing in it would clean up.
+    # The connection breaks between the answer's head and the first token. The
+    # body is never iterated, so clean-up code within it does not run.
     Given an admission deployment of one daemon
-    When a caller leaves before it reads its stream
-    Then the daemon of the admission holds no permit
+    When a caller disconnects before it reads its stream
+    Then the daemon of the admission has no permit in use
 
   Scenario: the fair queue keeps the order of a plain sort
-    # Whatever is added, served and dropped, the order is that of a version
-    # that keeps everything and sorts at each look.
-    When the fair queue and the sorted one are compared over 200 histories
-    Then the admission orders never differ
+    # For any sequence of additions and removals the order is the same as in a
+    # reference queue that sorts all entries at each access.
+    When the fair queue and a sorted one are compared over 200 sequences
+    Then the two queue orders never differ
 
-  Scenario: requests that have become hopeless are refused while nothing moves
-    # A backend server hangs, so that no request ends and none arrives. Those
-    # at the end of the queue can't be served in time any more, and must learn
-    # it at once instead of at their own last moment.
-    When the only permit is held for ever and 10 requests wait
+  Scenario: requests that would be late are refused while none ends or arrives
+    # A backend server hangs, so that no request ends and none arrives.
+    # Requests at the end of the queue can no longer be served in time and must
+    # be refused immediately, not just before their own deadline.
+    When the only permit is held indefinitely and 10 requests wait
     Then the one at the end is refused 300 ms before the first of them
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps of admission: order, shedding and who loses."""
+"""Steps for admission: order, shedding and fairness."""
 
 from __future__ import annotations
 
@@ -56,8 +56,8 @@
 
 
 @attrs.define
-class Bench:
-    """One admission, and how each request at it ended, in order."""
+class AdmissionRun:
+    """An admission, and the outcome of each request in order."""
 
     clock: Any
     pools: PoolLimits
@@ -92,12 +92,12 @@
             if permit.is_ok() and hold:
                 await self.clock.sleep(hold_ms)
 
-    def began(self, kind: str) -> list[str]:
-        return [name for name, how, _ in self.ended if how == kind]
+    def customers_of(self, kind: str) -> list[str]:
+        return [name for name, ended, _ in self.ended if ended == kind]
 
 
-def _play(context: Any, story: Any) -> Bench:
-    async def run() -> Bench:
+def _run(context: Any, script: Any) -> AdmissionRun:
+    async def run() -> AdmissionRun:
         clock = EventLoopClock()
         rng = random.Random(0)
         pools = PoolLimits(
@@ -108,10 +108,10 @@
             daemons=lambda: 1,
         )
         admission = FairAdmission(clock=clock, rng=rng, pool_limits=pools)
-        bench = Bench(clock, pools, admission)
+        bench = AdmissionRun(clock, pools, admission)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(admission.run)
-            await story(bench)
+            await script(bench)
             tasks.cancel_scope.cancel()
         return bench
 
@@ -125,8 +125,8 @@
     }
 
 
-@then("nothing was late and every refusal was true and said when to return")
-def then_true(context):
+@then("no request was late and every refusal was correct with a retry time")
+def then_correct(context):
     row = context.rows["project"]
     assert row["late"] == 0
     assert row["refused overloaded"] > 0
@@ -134,7 +134,7 @@
     assert row["refused without retry_after"] == 0
 
 
-@then("half of those refused learned it within {most:d} ms")
+@then("half of the refusals were sent within {most:d} ms")
 def then_soon(context, most):
     row = context.rows["project"]
     assert row["refused after ms, median"] <= most, row
@@ -153,25 +153,25 @@
     }
 
 
-@then("the others lose nothing with the project's admission")
+@then("the others keep full attainment with the project's admission")
 def then_nothing_lost(context):
     row = context.rows["project"]
     assert row["others attainment"] == 1.0, row
 
 
-@then("the others lose with the naive admission")
-def then_naive_loses(context):
+@then("the others lose attainment with the naive admission")
+def then_naive_below(context):
     assert context.rows["naive"]["others attainment"] < 0.9
 
 
 @given("an admission for one request at a time")
 def given_admission(context):
-    context.play = lambda story: _play(context, story)
+    context.run_script = lambda script: _run(context, script)
 
 
-@when('"large" has {count:d} requests waiting and "small" asks once')
+@when('"large" has {count:d} requests waiting and "small" sends one')
 def when_small(context, count):
-    async def story(bench):
+    async def script(bench):
         pipeline = _pipeline("summary", "engine")
         async with anyio.create_task_group() as tasks:
             for _ in range(count):
@@ -179,12 +179,12 @@
             await bench.clock.sleep(10.0)
             tasks.start_soon(bench.request, "small", pipeline)
 
-    context.bench = context.play(story)
+    context.bench = context.run_script(script)
 
 
 @then('"small" is served after at most {most:d} requests of "large"')
-def then_between(context, most):
-    served = context.bench.began("served")
+def then_served_soon(context, most):
+    served = context.bench.customers_of("served")
     assert served.index("small") <= most, served
 
 
@@ -193,7 +193,7 @@
     " priority 5"
 )
 def when_priorities(context, low_count, high_count):
-    async def story(bench):
+    async def script(bench):
         low = _pipeline("report", "engine")
         high = _pipeline("summary", "engine", priority=5)
         async with anyio.create_task_group() as tasks:
@@ -203,12 +203,12 @@
             for _ in range(high_count):
                 tasks.start_soon(bench.request, "high", high)
 
-    context.bench = context.play(story)
+    context.bench = context.run_script(script)
 
 
 @then("every request of priority 5 that could end in time was served first")
 def then_high_first(context):
-    served = context.bench.began("served")
+    served = context.bench.customers_of("served")
     first_low = served[1:].index("low") if "low" in served[1:] else len(served)
     assert served.count("high") >= 10
     assert all(name == "low" for name in served[1 + first_low :]), served
@@ -216,30 +216,30 @@
 
 @then("only requests of priority 0 were refused before the others began")
 def then_low_refused(context):
-    refused = context.bench.began("refused")
+    refused = context.bench.customers_of("refused")
     assert refused.count("low") > refused.count("high"), refused
 
 
-@when("{count:d} callers wait and all of them leave")
+@when("{count:d} callers wait and all of them disconnect")
 def when_leave(context, count):
-    async def story(bench):
+    async def script(bench):
         pipeline = _pipeline("summary", "engine")
         async with anyio.create_task_group() as tasks:
             for _ in range(count):
                 tasks.start_soon(bench.request, "large", pipeline)
             await bench.clock.sleep(150.0)
             tasks.cancel_scope.cancel()
-        context.left = (bench.admission.waiting, bench.pools.used("engine"))
+        context.in_use = (bench.admission.waiting, bench.pools.used("engine"))
         began = bench.clock.now()
         await bench.request("small", pipeline, hold=False)
         context.next_waited = bench.clock.now() - began
 
-    context.bench = context.play(story)
+    context.bench = context.run_script(script)
 
 
-@then("the admission holds no place and no permit")
-def then_holds_nothing(context):
-    assert context.left == (0, 0.0), context.left
+@then("the admission has no queue entry and no permit in use")
+def then_all_released(context):
+    assert context.in_use == (0, 0.0), context.in_use
 
 
 @then("the next request is admitted at once")
@@ -250,7 +250,7 @@
 
 @when('"large" has {count:d} requests waiting and a lookup needs another pool')
 def when_lookup(context, count):
-    async def story(bench):
+    async def script(bench):
         async with anyio.create_task_group() as tasks:
             for _ in range(count):
                 tasks.start_soon(
@@ -264,12 +264,12 @@
             context.next_waited = bench.clock.now() - began
             tasks.cancel_scope.cancel()
 
-    context.bench = context.play(story)
+    context.bench = context.run_script(script)
 
 
 @then("the lookup is admitted at once")
 def then_lookup(context):
-    assert context.bench.began("served") == ["large", "large"]
+    assert context.bench.customers_of("served") == ["large", "large"]
     assert context.next_waited == 0.0
 
 
@@ -278,7 +278,7 @@
     context.daemon_count = 1
 
 
-@when("a caller leaves before it reads its stream")
+@when("a caller disconnects before it reads its stream")
 def when_unread(context):
     async def run():
         async with Deployment() as deployment:
@@ -313,7 +313,7 @@
     )
 
 
-@then("the daemon of the admission holds no permit")
+@then("the daemon of the admission has no permit in use")
 def then_no_permit(context):
     *while_open, after = context.used
     assert min(while_open) > 0.0, context.used
@@ -336,7 +336,7 @@
 )
 
 
-@when("the fair queue and the sorted one are compared over {count:d} histories")
+@when("the fair queue and a sorted one are compared over {count:d} sequences")
 def when_compared(context, count):
     context.compared = 0
 
@@ -380,16 +380,16 @@
         assert [ticket.item for ticket in fair] == plain.order()
 
 
-@then("the admission orders never differ")
+@then("the two queue orders never differ")
 def then_never_differ(context):
     assert context.compared >= 100
 
 
-@when("the only permit is held for ever and {count:d} requests wait")
+@when("the only permit is held indefinitely and {count:d} requests wait")
 def when_held(context, count):
     pipeline = _pipeline("held", "engine")
 
-    async def story(bench):
+    async def script(bench):
         async with anyio.create_task_group() as tasks:
             holder = bench.request("holder", pipeline, hold_ms=60_000.0)
             tasks.start_soon(lambda: holder)
@@ -399,12 +399,14 @@
             await bench.clock.sleep(DEADLINE_MS)
             tasks.cancel_scope.cancel()
 
-    context.bench = _play(context, story)
+    context.bench = _run(context, script)
 
 
 @then("the one at the end is refused {least:d} ms before the first of them")
 def then_refused_before(context, least):
-    refused = {n: at for n, how, at in context.bench.ended if how == "refused"}
+    refused = {
+        n: at for n, kind, at in context.bench.ended if kind == "refused"
+    }
     assert len(refused) > 1, context.bench.ended
     ends = list(refused.values())
     assert max(ends) - min(ends) >= least, refused
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the customers' limits over a fleet of daemons."""
+"""Steps for customers' limits over a fleet of daemons."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from standins.virtual import run_virtual
 
 TERM_S = account.LEASE_TERM_MS / 1000.0
-RUSH = 30.0
+OVERLOAD_RATE = 30.0
 
 
 def make_static(world: LimitsFleet, name: str) -> StaticLimits:
@@ -40,21 +40,21 @@
     )
 
 
-def _play(context: Any, story: Any, make_limiter: Any = None) -> LimitsFleet:
-    """Runs a story in a world and keeps both for the checks."""
+def _run(context: Any, script: Any, make_limiter: Any = None) -> LimitsFleet:
+    """Runs a script in a fleet and stores the script for later steps."""
 
     async def run() -> LimitsFleet:
         world = _world(context, make_limiter)
         async with world:
-            await story(world)
+            await script(world)
             await world.hub.clock.sleep(2_000)
         return world
 
-    context.story = story
+    context.script = script
     return run_virtual(run)
 
 
-def _over(context: Any, world: LimitsFleet) -> float:
+def _excess(context: Any, world: LimitsFleet) -> float:
     times = world.admitted("customer")
     return excess(times, rate=context.rate, burst=context.burst)
 
@@ -79,7 +79,7 @@
     " {duration:d} seconds"
 )
 def when_sent(context, rate, where, duration):
-    async def story(world):
+    async def script(world):
         names = list(world.daemons)
         await world.offer(
             "customer",
@@ -91,7 +91,7 @@
         )
 
     context.duration = duration
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
 @when(
@@ -99,7 +99,7 @@
     " {after:d} seconds"
 )
 def when_owner_dies(context, rate, after):
-    async def story(world):
+    async def script(world):
         owner = world.owner("customer")
         others = [name for name in world.daemons if name != owner]
 
@@ -112,60 +112,62 @@
             )
             world.kill(owner)
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@when("its owner is frozen for {duration:d} seconds and wakes under a rush")
-def when_owner_frozen(context, duration):
-    async def story(world):
+@when(
+    "its owner is suspended for {duration:d} seconds and resumes under overload"
+)
+def when_owner_suspended(context, duration):
+    async def script(world):
         owner = world.owner("customer")
         names = list(world.daemons)
 
-        async def rush(seconds):
+        async def overload(seconds):
             await world.offer(
                 "customer",
-                rate=RUSH,
+                rate=OVERLOAD_RATE,
                 duration_ms=seconds * 1000,
                 choose=lambda: world.rng.choice(names),
             )
 
-        await rush(40)
+        await overload(40)
         world.freeze(owner)
-        await rush(duration)
+        await overload(duration)
         world.wake(owner)
-        await rush(10)
+        await overload(10)
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@when("its owner is frozen for {duration:d} ms and is never suspected")
-def when_owner_frozen_shortly(context, duration):
-    async def story(world):
+@when("its owner is suspended for {duration:d} ms and is never suspected")
+def when_owner_suspended_briefly(context, duration):
+    async def script(world):
         owner = world.owner("customer")
         names = list(world.daemons)
 
-        async def rush(duration_ms):
+        async def overload(duration_ms):
             await world.offer(
                 "customer",
-                rate=6 * RUSH,
+                rate=6 * OVERLOAD_RATE,
                 duration_ms=duration_ms,
                 choose=lambda: world.rng.choice(names),
             )
 
         await world.request(owner, "customer")
         await world.hub.clock.sleep(10_000)
-        await rush(10_000)
+        await overload(10_000)
         world.freeze(owner)
-        await rush(duration)
+        await overload(duration)
         world.wake(owner)
-        await rush(5_000)
+        await overload(5_000)
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@when("a caller's daemon has not heard of the owner that just started")
+@when("a caller's daemon does not know the owner that just started")
 def when_newcomer(context):
-    async def story(world):
+    async def script(world):
         owner = world.owner("customer")
         last = next(n for n in world.daemons if n != owner)
         for name in world.daemons:
@@ -179,19 +181,19 @@
         await world.offer(
             "customer", rate=5, duration_ms=20_000, choose=lambda: caller
         )
-        context.lenders = [
+        context.granting = [
             name
             for name, running in world.running.items()
             if running.quota_owner.subset_size("customer") is not None
         ]
         context.owner = owner
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
 @when("its callers send {rate:d} a second while every daemon stops")
 def when_all_stop(context, rate):
-    async def story(world):
+    async def script(world):
         names = list(world.daemons)
         for _ in range(4):
             await world.offer(
@@ -202,18 +204,21 @@
             )
             world.leaving.update(names[:3] if not world.leaving else names)
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@then("only the owner that just started has lent to it")
-def then_one_lender(context):
-    assert context.lenders == [context.owner], context.lenders
+@then("only the owner that just started has granted leases")
+def then_one_grants(context):
+    assert context.granting == [context.owner], context.granting
 
 
-@when("a borrower of {tokens:d} tokens is frozen for {duration:d} seconds")
-def when_borrower_frozen(context, tokens, duration):
-    holding = HeldQuota(now=0.0)
-    loan = QuotaLease(
+@when(
+    "a daemon with a lease of {tokens:d} tokens is suspended for"
+    " {duration:d} seconds"
+)
+def when_lessee_suspended(context, tokens, duration):
+    held = HeldQuota(now=0.0)
+    lease = QuotaLease(
         customer="customer",
         tokens=tokens,
         rate=5.0,
@@ -221,56 +226,56 @@
         size=6,
         retry_after_ms=0.0,
     )
-    holding.add(loan, requested_at=0.0, now=1.0)
-    assert holding.take(2.0)
-    context.taken = holding.take(duration * 1000.0)
+    held.add(lease, requested_at=0.0, now=1.0)
+    assert held.take(2.0)
+    context.taken = held.take(duration * 1000.0)
 
 
-@then("it holds none of them when it wakes")
-def then_holds_none(context):
+@then("it has none of them when it resumes")
+def then_has_none(context):
     assert context.taken is False
 
 
-@when("its halves are cut apart for {duration:d} seconds under a rush")
+@when("its halves are partitioned for {duration:d} seconds under overload")
 def when_cut(context, duration):
-    async def story(world):
+    async def script(world):
         names = list(world.daemons)
 
-        async def rush(seconds):
+        async def overload(seconds):
             await world.offer(
                 "customer",
-                rate=2 * RUSH,
+                rate=2 * OVERLOAD_RATE,
                 duration_ms=seconds * 1000,
                 choose=lambda: world.rng.choice(names),
             )
 
-        await rush(5)
+        await overload(5)
         world.cut(names[:3], names[3:])
         world.cut(names[3:], names[:3])
-        await rush(duration)
+        await overload(duration)
         world.heal()
-        await rush(5)
+        await overload(5)
 
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@then("with no memory of lost daemons it goes over by more than {most:d}")
-def then_forgetful_over(context, most):
-    remembered = fleet.LOSS_RETENTION_MS
+@then("without tracking lost daemons it exceeds them by more than {most:d}")
+def then_untracked_exceeds(context, most):
+    retention_ms = fleet.LOSS_RETENTION_MS
     fleet.LOSS_RETENTION_MS = 0.0
     try:
-        world = _play(context, context.story)
+        world = _run(context, context.script)
     finally:
-        fleet.LOSS_RETENTION_MS = remembered
-    assert _over(context, world) > most, _over(context, world)
+        fleet.LOSS_RETENTION_MS = retention_ms
+    assert _excess(context, world) > most, _excess(context, world)
 
 
-@when("its limit is lowered to {rate:d} during a rush")
+@when("its limit is lowered to {rate:d} under overload")
 def when_lowered(context, rate):
-    async def story(world):
+    async def script(world):
         names = list(world.daemons)
 
-        async def rush():
+        async def overload():
             await world.offer(
                 "customer",
                 rate=3 * context.rate,
@@ -278,20 +283,20 @@
                 choose=lambda: world.rng.choice(names),
             )
 
-        await rush()
+        await overload()
         world.customers["customer"] = attrs.evolve(
             world.customers["customer"],
             requests_per_second=float(rate),
             burst=float(rate),
         )
         context.since = world.now + account.LEASE_TERM_MS
-        await rush()
+        await overload()
 
     context.lowered = float(rate)
-    context.world = _play(context, story)
+    context.world = _run(context, script)
 
 
-@then("after one term no window of it went over the lower limit and burst")
+@then("after one lease term no time window exceeded the lower limit and burst")
 def then_lowered(context):
     times = [t for t in context.world.admitted("customer") if t > context.since]
     over = excess(times, rate=context.lowered, burst=context.lowered)
@@ -315,7 +320,7 @@
 
 @then("the static limits refuse more than half of the same requests")
 def then_static_refuses(context):
-    world = _play(context, context.story, make_static)
+    world = _run(context, context.script, make_static)
     assert world.refused("customer") > len(world.log) / 2
 
 
@@ -325,33 +330,33 @@
     assert admitted >= context.rate * context.duration * least / 100, admitted
 
 
-@then("no window of it went over limit and burst by more than one term")
+@then("no time window exceeded limit and burst by more than one lease term")
 def then_within_term(context):
-    over = _over(context, context.world)
+    over = _excess(context, context.world)
     assert over <= context.rate * TERM_S, over
 
 
-@then("no window of it went over limit and burst by more than {most:d}")
+@then("no time window exceeded limit and burst by more than {most:d}")
 def then_within(context, most):
-    over = _over(context, context.world)
+    over = _excess(context, context.world)
     assert len(context.world.admitted("customer")) > 0
     assert over <= most, over
 
 
-@then("the owner of the limit was asked at most {most:d} times a second")
-def then_asked(context, most):
-    asked = context.world.messages / context.duration
-    assert 0 < asked <= most, asked
+@then("the owner of the limit got at most {most:d} lease requests a second")
+def then_lease_requests(context, most):
+    per_second = context.world.messages / context.duration
+    assert 0 < per_second <= most, per_second
 
 
-@then("without limits the same requests go over")
-def then_none_over(context):
-    world = _play(context, context.story, make_none)
-    assert _over(context, world) > context.rate * TERM_S
+@then("without limits the same requests exceed the limit")
+def then_none_exceeds(context):
+    world = _run(context, context.script, make_none)
+    assert _excess(context, world) > context.rate * TERM_S
 
 
-@then("nobody of it was locked out for more than {most:d} ms")
-def then_not_locked_out(context, most):
+@then("no period of only refusals lasted longer than {most:d} ms")
+def then_refusals_end(context, most):
     longest = limits_fleet.longest_refusal_ms(context.world.log, "customer")
     assert longest <= most, longest
 
@@ -362,16 +367,16 @@
     limits_machine.run(None, examples=count)
 
 
-@then("the limits oracle objects to nothing")
+@then("the limits oracle finds no violation")
 def then_nothing(context):
     assert context.examples > 0
 
 
-@then("the limits oracle catches static shares and no limits")
-def then_catches(context):
+@then("the limits oracle detects static shares and missing limits")
+def then_detects(context):
     for make in (make_static, make_none):
         try:
             limits_machine.run(make, examples=context.examples)
         except (AssertionError, BaseExceptionGroup):
             continue
-        raise AssertionError(f"{make.__name__} was not caught")
+        raise AssertionError(f"{make.__name__} was not detected")
--- a/features/support/limits_fleet.py
+++ b/features/support/limits_fleet.py
@@ -1,7 +1,7 @@
-"""Daemons that share customers' limits, over the hub, with a fake membership.
+"""Daemons that share customers' limits, on a simulated network.
 
-The membership here is a small oracle: a daemon sees another one until it has
-not heard of it for `SUSPECT_MS`, over whichever way the word can take.
+The membership is simulated too: a daemon lists another one until no message
+from it has arrived, directly or through others, for `SUSPECT_MS`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class AdmissionRecord:
-    """How one request ended at a daemon."""
+    """The outcome of one request at a daemon."""
 
     at: float
     customer: str
@@ -57,7 +57,7 @@
 
 @attrs.define(kw_only=True)
 class Running:
-    """One daemon's limits, as they run."""
+    """The limits service of one running daemon."""
 
     limiter: Limiter
     subsets: Subsets | None
@@ -66,7 +66,7 @@
 
 
 class LimitsFleet:
-    """A fleet of daemons without anything but limits."""
+    """A fleet of daemons that run only the limits service."""
 
     def __init__(
         self,
@@ -121,11 +121,11 @@
 
     @property
     def now(self) -> float:
-        """Milliseconds of virtual time."""
+        """Virtual time in milliseconds."""
         return self.hub.clock.now()
 
     def start(self, name: str) -> None:
-        """Starts a daemon, empty as after any start."""
+        """Starts a daemon without any state."""
         now = self.hub.clock.now()
         self._last_seen[name] = dict.fromkeys(self.daemons, now)
         scope = anyio.CancelScope()
@@ -144,7 +144,7 @@
             clock=clock, fleet=_VisibleFleet(world=self, name=name)
         )
         subsets = self._subsets(view=view)
-        ledger = QuotaOwner(
+        quota_owner = QuotaOwner(
             clock=clock,
             view=view,
             subsets=subsets,
@@ -154,10 +154,10 @@
             clock=clock,
             view=view,
             subsets=subsets,
-            quota_owner=ledger,
+            quota_owner=quota_owner,
             lease_client=HttpQuotaLeaseClient(network=self.hub.network(name)),
         )
-        handler = QuotaLeaseHandler(quota_owner=ledger)
+        handler = QuotaLeaseHandler(quota_owner=quota_owner)
 
         async def counted(request: Any) -> Any:
             self.messages += 1
@@ -165,29 +165,32 @@
 
         self.hub.listen(self.daemons[name].address, counted, owner=name)
         return Running(
-            limiter=limiter, subsets=subsets, quota_owner=ledger, scope=scope
+            limiter=limiter,
+            subsets=subsets,
+            quota_owner=quota_owner,
+            scope=scope,
         )
 
     def kill(self, name: str) -> None:
-        """Ends a daemon at once."""
+        """Kills a daemon."""
         self._faulty = True
         if name in self.running:
             self.hub.kill(name)
             self.running.pop(name).scope.cancel()
 
     def freeze(self, name: str) -> None:
-        """Stops a daemon, as SIGSTOP does."""
+        """Suspends a daemon, as SIGSTOP does."""
         self._faulty = True
         self.frozen.add(name)
         self.hub.freeze(name)
 
     def wake(self, name: str) -> None:
-        """Lets a frozen daemon go on."""
+        """Resumes a suspended daemon."""
         self.frozen.discard(name)
         self.hub.wake(name)
 
     def cut(self, sources: Sequence[str], targets: Sequence[str]) -> None:
-        """Cuts one direction between two sets of daemons."""
+        """Cuts the links from one set of daemons to another, one way."""
         self._faulty = True
         for source in sources:
             for target in targets:
@@ -195,16 +198,16 @@
                 self.hub.link(source, target).cut = True
 
     def heal(self) -> None:
-        """Ends every cut."""
+        """Restores all cut links."""
         for source, target in self.cuts:
             self.hub.link(source, target).cut = False
         self.cuts.clear()
 
     def seen_by(self, name: str) -> tuple[Daemon, ...]:
-        """Returns the daemons that one daemon believes to serve."""
+        """Returns the daemons that one daemon sees as serving."""
         if not self._faulty and not self.hidden and not self.leaving:
             return self._all
-        heard = self._last_seen[name]
+        last_seen = self._last_seen[name]
         now = self.now
         return tuple(
             daemon
@@ -214,12 +217,12 @@
             and (
                 not self._faulty
                 or other == name
-                or now - heard[other] <= SUSPECT_MS
+                or now - last_seen[other] <= SUSPECT_MS
             )
         )
 
     def owner(self, customer: str, seen_by: str = "entry-0") -> str:
-        """Returns who lends a customer's limit, as one daemon sees it."""
+        """Returns the owner of a customer's limit as seen by one daemon."""
         subsets = self.running[seen_by].subsets
         assert subsets is not None
         owner = subsets.owner(customer)
@@ -227,7 +230,7 @@
         return owner.name
 
     async def request(self, name: str, customer: str) -> bool | None:
-        """Sends a request to a daemon; None if there is no such daemon."""
+        """Sends a request to a daemon; None if it is not running."""
         await self.hub.awake(name)
         running = self.running.get(name)
         if running is None:
@@ -247,7 +250,7 @@
         return answer.is_ok()
 
     def send(self, name: str, customer: str) -> None:
-        """Sends a request without waiting for its end."""
+        """Sends a request without waiting for its outcome."""
         self.hub.start(self.request, name, customer)
 
     async def offer(
@@ -259,7 +262,7 @@
         choose: Callable[[], str],
         poisson: bool = True,
     ) -> None:
-        """Sends requests at a rate to daemons that `choose` names."""
+        """Sends requests at a rate to daemons returned by `choose`."""
         end = self.now + duration_ms
         while True:
             gap = self.rng.expovariate(rate) if poisson else 1.0 / rate
@@ -269,7 +272,7 @@
             self.send(choose(), customer)
 
     def admitted(self, customer: str) -> list[float]:
-        """Returns when a customer's requests were admitted, in order."""
+        """Returns the times at which a customer's requests were admitted."""
         return [
             entry.at
             for entry in self.log
@@ -277,7 +280,7 @@
         ]
 
     def refused(self, customer: str, since: float = 0.0) -> int:
-        """Returns how many of a customer's requests were refused."""
+        """Returns the number of a customer's refused requests."""
         return sum(
             entry.customer == customer
             and not entry.admitted
@@ -295,14 +298,14 @@
                 self._exchange()
             else:
                 now = self.now
-                for heard in self._last_seen.values():
-                    heard.update(dict.fromkeys(heard, now))
+                for last_seen in self._last_seen.values():
+                    last_seen.update(dict.fromkeys(last_seen, now))
             await self.hub.clock.sleep(EXCHANGE_INTERVAL_MS)
 
     def _exchange(self) -> None:
         awake = [n for n in self.running if n not in self.frozen]
         for name in awake:
-            heard = self._last_seen[name]
+            last_seen = self._last_seen[name]
             reached = [name]
             for target in reached:
                 for source in awake:
@@ -315,16 +318,18 @@
                         not in self.cuts
                     ):
                         reached.append(source)
-            heard.update(dict.fromkeys(reached, self.now))
+            last_seen.update(dict.fromkeys(reached, self.now))
 
 
 def excess(times: Sequence[float], *, rate: float, burst: float) -> float:
-    """Returns by how much any window went over burst plus rate times length.
+    """Returns the largest excess of any time window over its allowance.
+
+    The allowance of a window is the burst plus the rate times its length.
 
     Args:
-        times: When requests were admitted, in milliseconds.
-        rate: The limit in requests a second.
-        burst: Requests that may come on top.
+        times: Times of admitted requests, in milliseconds.
+        rate: The limit in requests per second.
+        burst: The customer's burst, in requests.
     """
     worst = -burst
     lowest = float("inf")
@@ -336,7 +341,7 @@
 
 
 def longest_refusal_ms(log: Sequence[AdmissionRecord], customer: str) -> float:
-    """Returns the longest time in which every request was refused."""
+    """Returns the longest period in which every request was refused."""
     longest = 0.0
     since: float | None = None
     for entry in log:
@@ -353,7 +358,7 @@
 def customers(
     limits: Mapping[str, tuple[float, float]],
 ) -> list[Customer]:
-    """Returns customers with their rate and burst."""
+    """Returns customers with the given rates and bursts."""
     return [
         Customer(
             name=name,
--- a/features/support/limits_machine.py
+++ b/features/support/limits_machine.py
@@ -1,7 +1,7 @@
-"""A state machine that bursts, kills, freezes, cuts and changes limits.
+"""A state machine of bursts, kills, suspensions, partitions and limit changes.
 
-The rules write a script; the end of an example runs it in virtual time and
-holds what was admitted against a plain count by customer and window.
+The rules write a script. The end of an example runs it in virtual time and
+compares the admitted requests with a simple count by customer and time window.
 """
 
 from __future__ import annotations
@@ -29,10 +29,11 @@
 DAEMONS = 6
 LIMITS = {"large": (10.0, 20.0), "small": (2.0, 4.0), "quiet": (4.0, 4.0)}
 QUIET_GAP_MS = 1_000.0
-# After a fault: what each daemon may fall back to until the membership has
-# noticed, one term of the last owner's loans, and two views of the fleet.
+# Error after a fault: each daemon may use its fallback until the membership has
+# detected the fault, plus one term of the last owner's leases and two refreshes
+# of the view of the fleet.
 UNDETECTED_FAULT_MS = SUSPECT_MS + LEASE_TERM_MS + 1_000.0
-CALM_MS = SUSPECT_MS + LOSS_RETENTION_MS + 5_000.0
+RECOVERY_MS = SUSPECT_MS + LOSS_RETENTION_MS + 5_000.0
 
 daemon_numbers = st.integers(0, DAEMONS - 1)
 customer_names = st.sampled_from(["large", "small"])
@@ -41,23 +42,23 @@
 
 @attrs.define
 class Oracle:
-    """What was earned by each customer, and when faults began or ended."""
+    """The limits of each customer over time, and the times of faults."""
 
     world: LimitsFleet
     rates: dict[str, list[tuple[float, float]]] = attrs.field(factory=dict)
     faults: list[float] = attrs.field(factory=list)
 
     def record_limit(self, customer: str, rate: float) -> None:
-        """Notes a limit from now on."""
+        """Records a limit that applies from now on."""
         entry = (self.world.now, rate)
         self.rates.setdefault(customer, []).append(entry)
 
     def record_fault(self) -> None:
-        """Notes that a fault began or ended."""
+        """Records that a fault began or ended."""
         self.faults.append(self.world.now)
 
-    def earned(self, customer: str, at: float) -> float:
-        """Returns how many requests the rate alone allows up to `at`."""
+    def refilled(self, customer: str, at: float) -> float:
+        """Returns the number of requests that the rate allows up to `at`."""
         total = 0.0
         steps = self.rates[customer]
         for index, (since, rate) in enumerate(steps):
@@ -67,31 +68,31 @@
         return total
 
     def allowance(self, customer: str) -> float:
-        """Returns the stated error over the whole run."""
+        """Returns the permitted error over the whole run."""
         rate = max(rate for _, rate in self.rates[customer])
-        each = (
+        per_fault = (
             rate * (UNDETECTED_FAULT_MS + INITIAL_REFILL_MS) / 1000.0 + DAEMONS
         )
         changes = len(self.rates[customer])
         term = rate * LEASE_TERM_MS / 1000.0
-        return term * changes + each * len(self.faults) + 1.0
+        return term * changes + per_fault * len(self.faults) + 1.0
 
     def check(self) -> None:
-        """Raises if more was admitted in a window than stated."""
+        """Raises AssertionError if a window exceeds the permitted error."""
         for name, (_, burst) in LIMITS.items():
             lowest = float("inf")
             for index, at in enumerate(self.world.admitted(name)):
-                level = index - self.earned(name, at)
+                level = index - self.refilled(name, at)
                 lowest = min(lowest, level)
                 over = level + 1.0 - lowest - burst
                 assert over <= self.allowance(name), (name, at, over)
 
     def check_quiet(self, began: float, admitted: bool | None) -> None:
-        """Raises if a customer below its limit was refused in calm times."""
-        calm = not self.world.cuts and all(
-            began - at > CALM_MS for at in self.faults
+        """Raises AssertionError on a refusal below the limit without faults."""
+        no_faults = not self.world.cuts and all(
+            began - at > RECOVERY_MS for at in self.faults
         )
-        assert not calm or admitted is not False, ("quiet refused", began)
+        assert not no_faults or admitted is not False, ("quiet refused", began)
 
 
 class LimitsMachine(RuleBasedStateMachine):
@@ -157,7 +158,7 @@
                 oracle.record_limit(name, rate)
             tasks.start_soon(_quiet_customer, world, oracle)
             for step in self._script:
-                await _play(world, oracle, step)
+                await _run_step(world, oracle, step)
             await world.hub.clock.sleep(3_000)
             tasks.cancel_scope.cancel()
         oracle.check()
@@ -171,7 +172,7 @@
             oracle.check_quiet(began, await world.request("entry-0", "quiet"))
 
 
-async def _play(
+async def _run_step(
     world: LimitsFleet, oracle: Oracle, step: tuple[Any, ...]
 ) -> None:
     names = list(world.daemons)
@@ -234,7 +235,7 @@
 
 
 def run(make_limiter: MakeLimiter | None, *, examples: int) -> None:
-    """Runs the machine; raises AssertionError where the oracle objects."""
+    """Runs the machine; raises AssertionError on a violation."""
     machine = type(
         "Machine",
         (LimitsMachine,),
