--- a/cactusdyke/limits/customer_limits.py
+++ b/cactusdyke/limits/customer_limits.py
@@ -63,7 +63,7 @@
             try:
                 while True:
                     self._quota_owner.review()
-                    self._forget_idle()
+                    self._evict_idle()
                     await self._clock.sleep(REVIEW_INTERVAL_MS)
             finally:
                 self._tasks = None
@@ -216,7 +216,7 @@
             self._held_quotas[customer] = HeldQuota(now=now)
         return self._held_quotas[customer]
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         now = self._clock.now()
         self._held_quotas = {
             name: held
--- a/cactusdyke/limits/fair_admission.py
+++ b/cactusdyke/limits/fair_admission.py
@@ -49,7 +49,7 @@
     Attributes:
         target: Name of the requested pipeline or service.
         claim: Expected load of the request.
-        start_by: Instant from which it would be late.
+        latest_start: Instant after which the request would be late.
         accepted: Whether an earlier check expected it to start in time.
         decided: Set once the request is admitted or refused.
         refusal: Cause of a refusal, None if the request was admitted.
--- a/cactusdyke/limits/pool_limits.py
+++ b/cactusdyke/limits/pool_limits.py
@@ -72,9 +72,9 @@
         for stage in pipeline.stages:
             name = (pipeline.name, stage.name)
             typical = self._timings.quantile(name, timings.TYPICAL)
-            expected_ms = stage.expected_ms if typical is None else typical
+            stage_ms = stage.expected_ms if typical is None else typical
             late = self._timings.quantile(name, timings.LATE)
-            work[stage.pool] = work.get(stage.pool, 0.0) + max(expected_ms, 0.1)
+            work[stage.pool] = work.get(stage.pool, 0.0) + max(stage_ms, 0.1)
             late_ms += stage.expected_ms if late is None else late
         return Claim(work_ms=work, total_ms=sum(work.values()), late_ms=late_ms)
 
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -93,7 +93,7 @@
                 await self.clock.sleep(hold_ms)
 
     def customers_of(self, kind: str) -> list[str]:
-        return [name for name, ended, _ in self.ended if ended == kind]
+        return [name for name, outcome, _ in self.ended if outcome == kind]
 
 
 def _run(context: Any, script: Any) -> AdmissionRun:
@@ -405,7 +405,7 @@
 @then("the one at the end is refused {least:d} ms before the first of them")
 def then_refused_before(context, least):
     refused = {
-        n: at for n, kind, at in context.bench.ended if kind == "refused"
+        n: at for n, outcome, at in context.bench.ended if outcome == "refused"
     }
     assert len(refused) > 1, context.bench.ended
     ends = list(refused.values())
