--- a/cactusdyke/limits/customer_limits.py
+++ b/cactusdyke/limits/customer_limits.py
@@ -1,7 +1,7 @@
-"""Holds customers to their limits over all daemons, by loans from owners.
+"""Enforces customers' limits across all daemons with quota leases.
 
-The first daemon of a customer's order owns its limit and lends parts of it
-to whichever daemons its requests arrive at.
+The first daemon in a customer's order owns the customer's limit and leases
+parts of it to the daemons that receive the customer's requests.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind
-from cactusdyke.limits.account import Ask, Loan
-from cactusdyke.limits.holding import Holding
-from cactusdyke.limits.ledger import REVIEW_MS, NotOwner
+from cactusdyke.limits.account import QuotaLease, QuotaRequest
+from cactusdyke.limits.held_quota import HeldQuota
 from cactusdyke.limits.limiter import Limiter
+from cactusdyke.limits.quota_owner import REVIEW_INTERVAL_MS, NotOwner
 
 if TYPE_CHECKING:
     from cactusdyke.clock import Clock
     from cactusdyke.configuration.model import Customer
     from cactusdyke.limits.fleet import FleetView
-    from cactusdyke.limits.ledger import Ledger
-    from cactusdyke.limits.lending import Lender
+    from cactusdyke.limits.quota_leases import QuotaLeaseClient
+    from cactusdyke.limits.quota_owner import QuotaOwner
     from cactusdyke.limits.subsets import Subsets
     from cactusdyke.observe.metrics import Metrics
 
 MAX_RETRY_AFTER_MS = 60_000.0
 FALLBACK_TERM_MS = 2_000.0
-FALLBACK_PAUSE_MS = 1_000.0
-FORGET_AFTER_MS = 600_000.0
+FALLBACK_RETRY_MS = 1_000.0
+IDLE_RETENTION_MS = 600_000.0
 
 
 class CustomerLimits(Limiter):
-    """Admits requests from what this daemon holds of each limit."""
+    """Admits requests within the quota that this daemon holds."""
 
     def __init__(
         self,
@@ -43,154 +43,165 @@
         clock: Clock,
         view: FleetView,
         subsets: Subsets,
-        ledger: Ledger,
-        lender: Lender,
+        quota_owner: QuotaOwner,
+        lease_client: QuotaLeaseClient,
         metrics: Metrics | None = None,
     ) -> None:
         self._clock = clock
         self._view = view
         self._subsets = subsets
-        self._ledger = ledger
-        self._lender = lender
+        self._quota_owner = quota_owner
+        self._lease_client = lease_client
         self._metrics = metrics
-        self._holdings: dict[str, Holding] = {}
+        self._held_quotas: dict[str, HeldQuota] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Reviews what is owned, and runs renewals in the background."""
+        """Updates owned limits, and runs lease renewals in the background."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             try:
                 while True:
-                    self._ledger.review()
-                    self._forget_idle()
-                    await self._clock.sleep(REVIEW_MS)
+                    self._quota_owner.review()
+                    self._evict_idle()
+                    await self._clock.sleep(REVIEW_INTERVAL_MS)
             finally:
                 self._tasks = None
 
     def subset_size(self, customer: str) -> int:
-        """Returns how many daemons the customer's callers should use."""
-        owned = self._ledger.size(customer)
-        return owned or self._holding(customer).size
+        """Returns the number of daemons the customer's callers should use."""
+        owned = self._quota_owner.subset_size(customer)
+        return owned or self._held_quota(customer).size
 
     async def admit(self, customer: Customer) -> Result[None, Failure]:
         """Takes one request from a customer's limit, or refuses it."""
-        holding = self._holding(customer.name)
+        held = self._held_quota(customer.name)
         now = self._clock.now()
-        holding.demand.count(now)
-        if holding.is_due(now):
-            self._renew(customer, holding)
-        admitted = holding.take(now) or await self._wait(customer, holding)
-        self._count(customer, admitted=admitted)
+        held.demand.count(now)
+        if held.is_renewal_due(now):
+            self._renew_in_background(customer, held)
+        admitted = held.take(now) or await self._wait_for_tokens(customer, held)
+        self._count_decision(customer, admitted=admitted)
         if admitted:
             return Ok(None)
-        return Err(self._refusal(customer, holding))
+        return Err(self._refusal(customer, held))
 
-    async def _wait(self, customer: Customer, holding: Holding) -> bool:
-        """Asks for more, together with the others that wait for it."""
-        holding.waiting += 1
+    async def _wait_for_tokens(
+        self, customer: Customer, held: HeldQuota
+    ) -> bool:
+        """Waits for a token; concurrent requests share one lease request."""
+        held.waiting += 1
         try:
             while True:
                 now = self._clock.now()
-                if holding.take(now):
+                if held.take(now):
                     return True
-                if holding.is_refused(now):
+                if held.is_refused(now):
                     return False
-                if holding.owner_lost:
-                    # Each question to a frozen owner costs a time-out, which
-                    # callers would wait out; only the background asks on.
-                    self._fall_back(customer, holding)
-                    self._renew(customer, holding)
-                elif holding.asking is not None:
-                    await holding.asking.wait()
+                if held.owner_unreachable:
+                    # Each lease request to an unresponsive owner costs a
+                    # time-out, for which callers would wait; only background
+                    # renewals keep trying.
+                    self._use_fallback(customer, held)
+                    self._renew_in_background(customer, held)
+                elif held.renewal is not None:
+                    await held.renewal.wait()
                 else:
-                    await self._ask(customer, holding)
+                    await self._renew(customer, held)
         finally:
-            holding.waiting -= 1
+            held.waiting -= 1
 
-    def _renew(self, customer: Customer, holding: Holding) -> None:
-        if holding.asking is not None or self._tasks is None:
+    def _renew_in_background(self, customer: Customer, held: HeldQuota) -> None:
+        if held.renewal is not None or self._tasks is None:
             return
-        holding.put_off(self._clock.now())
-        self._tasks.start_soon(self._ask, customer, holding)
+        held.postpone_renewal(self._clock.now())
+        self._tasks.start_soon(self._renew, customer, held)
 
-    async def _ask(self, customer: Customer, holding: Holding) -> None:
-        if holding.asking is not None:
+    async def _renew(self, customer: Customer, held: HeldQuota) -> None:
+        if held.renewal is not None:
             return
-        holding.asking = anyio.Event()
-        asked_at = self._clock.now()
+        held.renewal = anyio.Event()
+        requested_at = self._clock.now()
         try:
-            loan = await self._borrow(customer, holding)
-            self._count_question(lent=loan is not None)
-            if loan is None:
-                self._lose_owner(customer, holding)
+            lease = await self._request_lease(customer, held)
+            self._count_lease_request(granted=lease is not None)
+            if lease is None:
+                self._on_owner_unreachable(customer, held)
             else:
-                holding.owner_lost = False
+                held.owner_unreachable = False
                 now = self._clock.now()
-                holding.add(loan, asked_at=asked_at, now=now)
+                held.add(lease, requested_at=requested_at, now=now)
         finally:
-            holding.asking.set()
-            holding.asking = None
+            held.renewal.set()
+            held.renewal = None
 
-    async def _borrow(
-        self, customer: Customer, holding: Holding
-    ) -> Loan | None:
+    async def _request_lease(
+        self, customer: Customer, held: HeldQuota
+    ) -> QuotaLease | None:
         now = self._clock.now()
-        ask = Ask(
+        request = QuotaRequest(
             customer=customer.name,
-            waiting=holding.waiting,
-            demand=holding.demand.per_second(now),
-            size=holding.size,
+            waiting=held.waiting,
+            demand=held.demand.per_second(now),
+            size=held.size,
         )
         own_name = self._view.own_name
         owner = self._subsets.owner(customer.name)
         if owner is None or owner.name == own_name:
-            return self._ledger.lend(own_name, ask).unwrap_or(None)
-        answer = await self._lender.borrow(owner.address, own_name, ask)
+            return self._quota_owner.grant(own_name, request).unwrap_or(None)
+        answer = await self._lease_client.request_lease(
+            owner.address, own_name, request
+        )
         match answer:
             case Ok(NotOwner(owner=str(address))):
-                # Two daemons see different fleets for a moment. Following
-                # the word of the one asked keeps the owners to those that
-                # believe it of themselves; once, as views may form a ring.
-                answer = await self._lender.borrow(address, own_name, ask)
+                # Two daemons can see different fleets for a moment. Following
+                # the redirect ensures that only a daemon that considers
+                # itself the owner grants leases. It is followed once, as
+                # differing views may redirect in a loop.
+                answer = await self._lease_client.request_lease(
+                    address, own_name, request
+                )
         match answer:
-            case Ok(Loan() as loan):
-                return loan
+            case Ok(QuotaLease() as lease):
+                return lease
             case _:
                 return None
 
-    def _lose_owner(self, customer: Customer, holding: Holding) -> None:
-        if not holding.owner_lost:
+    def _on_owner_unreachable(
+        self, customer: Customer, held: HeldQuota
+    ) -> None:
+        if not held.owner_unreachable:
             events.log(
                 events.Event.LIMIT_OWNER_UNREACHABLE, customer=customer.name
             )
-        holding.owner_lost = True
-        self._fall_back(customer, holding)
+        held.owner_unreachable = True
+        self._use_fallback(customer, held)
 
-    def _fall_back(self, customer: Customer, holding: Holding) -> None:
-        """Lends itself an equal part while the owner can't be reached.
+    def _use_fallback(self, customer: Customer, held: HeldQuota) -> None:
+        """Grants itself an equal share while the owner is unreachable.
 
-        All members' parts together make up the limit once more, so that the
-        error lasts only until the membership has found another owner.
+        The shares of all members add up to the limit a second time; this
+        excess ends once the membership has determined another owner.
         """
-        members = self._subsets.members(customer.name, holding.size)
+        members = self._subsets.members(customer.name, held.size)
         is_member = any(d.name == self._view.own_name for d in members)
-        sharers = len(members) if is_member else len(self._view.serving)
+        share_count = len(members) if is_member else len(self._view.serving)
         now = self._clock.now()
-        rate = customer.requests_per_second * self._view.scale
-        loan = Loan(
+        rate = customer.requests_per_second * self._view.visible_share
+        lease = QuotaLease(
             customer=customer.name,
-            # A customer that asks rarely would find nothing grown yet.
-            tokens=int(is_member and holding.may_start_fallback(now)),
-            rate=rate / max(1, sharers),
+            # For a customer with few requests the rate alone would not have
+            # accumulated a token yet.
+            tokens=int(is_member and held.take_fallback_token(now)),
+            rate=rate / max(1, share_count),
             term_ms=FALLBACK_TERM_MS,
-            size=holding.size,
-            retry_after_ms=FALLBACK_PAUSE_MS,
+            size=held.size,
+            retry_after_ms=FALLBACK_RETRY_MS,
         )
-        holding.add(loan, asked_at=now, now=now)
+        held.add(lease, requested_at=now, now=now)
 
-    def _refusal(self, customer: Customer, holding: Holding) -> Failure:
-        wait_ms = holding.retry_after_ms(
+    def _refusal(self, customer: Customer, held: HeldQuota) -> Failure:
+        wait_ms = held.retry_after_ms(
             self._clock.now(), customer.requests_per_second
         )
         return Failure(
@@ -199,26 +210,26 @@
             retry_after_ms=int(min(wait_ms, MAX_RETRY_AFTER_MS)) + 1,
         )
 
-    def _holding(self, customer: str) -> Holding:
-        if customer not in self._holdings:
+    def _held_quota(self, customer: str) -> HeldQuota:
+        if customer not in self._held_quotas:
             now = self._clock.now()
-            self._holdings[customer] = Holding(now=now)
-        return self._holdings[customer]
+            self._held_quotas[customer] = HeldQuota(now=now)
+        return self._held_quotas[customer]
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         now = self._clock.now()
-        self._holdings = {
-            name: holding
-            for name, holding in self._holdings.items()
-            if holding.waiting or holding.idle_ms(now) < FORGET_AFTER_MS
+        self._held_quotas = {
+            name: held
+            for name, held in self._held_quotas.items()
+            if held.waiting or held.idle_ms(now) < IDLE_RETENTION_MS
         }
 
-    def _count_question(self, *, lent: bool) -> None:
+    def _count_lease_request(self, *, granted: bool) -> None:
         if self._metrics is not None:
-            outcome = "lent" if lent else "unreachable"
+            outcome = "lent" if granted else "unreachable"
             self._metrics.limit_questions.labels(outcome).inc()
 
-    def _count(self, customer: Customer, *, admitted: bool) -> None:
+    def _count_decision(self, customer: Customer, *, admitted: bool) -> None:
         if self._metrics is not None:
             decision = "admitted" if admitted else "limited"
             self._metrics.limit_decisions.labels(customer.name, decision).inc()
--- a/cactusdyke/limits/fair_queue.py
+++ b/cactusdyke/limits/fair_queue.py
@@ -1,9 +1,9 @@
-"""A queue by priority, and by weighted fair shares among customers.
+"""A queue ordered by priority, and by weighted fair shares among customers.
 
-Start-time fair queueing: each entry is stamped when it is added, with the
-later of the queue's virtual time and the end of its customer's last entry.
-A customer with many entries stamps itself further and further back, so that
-one with few waits only for what is ahead of it in its own share.
+It implements start-time fair queueing: the start tag of an entry is the later
+of the queue's virtual time and the finish tag of its customer's last entry.
+The start tags of a customer with many entries move further into the future,
+so that a customer with few entries is served between them.
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 
 ItemType = TypeVar("ItemType")
 
-SMALLEST_SHARE = 1e-6
+MIN_SHARE = 1e-6
 
 
 @attrs.frozen(kw_only=True, order=True)
-class _Place:
-    behind: int
-    stamp: float
+class _SortKey:
+    negated_priority: int
+    start_tag: float
     number: int
 
 
 @attrs.frozen(kw_only=True, eq=False)
 class Ticket(Generic[ItemType]):
-    """An entry's place in the queue.
+    """A queued entry.
 
     Attributes:
-        item: What was added.
-        place: Where it stands; smaller is served first.
+        item: The item that was added.
+        place: Sort key; the smallest is served first.
     """
 
     item: ItemType
-    place: _Place
+    place: _SortKey
 
 
 @attrs.define(kw_only=True)
-class _Level:
-    now: float = 0.0
-    ends: dict[str, float] = attrs.field(factory=dict)
+class _PriorityLevel:
+    virtual_time: float = 0.0
+    finish_tags: dict[str, float] = attrs.field(factory=dict)
 
 
 class FairQueue(Generic[ItemType]):
-    """Entries in the order in which they should be served."""
+    """Entries in the order in which they are to be served."""
 
     def __init__(self) -> None:
         self._tickets: list[Ticket[ItemType]] = []
-        self._levels: dict[int, _Level] = {}
+        self._levels: dict[int, _PriorityLevel] = {}
         self._count = 0
 
     def __len__(self) -> int:
@@ -73,38 +73,42 @@
         """Adds an entry.
 
         Args:
-            item: What is to be served.
-            customer: Whose it is.
+            item: The item to be served.
+            customer: Name of the customer that the item belongs to.
             share: The customer's weight among those of the same priority.
-            cost: What serving it takes, in any unit that all entries share.
-            priority: Higher is served first, whatever the shares.
+            cost: Cost of serving the item, in a unit common to all entries.
+            priority: Higher priorities are served first, whatever the shares.
         """
-        level = self._levels.setdefault(priority, _Level())
-        stamp = max(level.now, level.ends.get(customer, 0.0))
-        level.ends[customer] = stamp + cost / max(share, SMALLEST_SHARE)
+        level = self._levels.setdefault(priority, _PriorityLevel())
+        stamp = max(level.virtual_time, level.finish_tags.get(customer, 0.0))
+        level.finish_tags[customer] = stamp + cost / max(share, MIN_SHARE)
         self._count += 1
         ticket = Ticket(
             item=item,
-            place=_Place(behind=-priority, stamp=stamp, number=self._count),
+            place=_SortKey(
+                negated_priority=-priority, start_tag=stamp, number=self._count
+            ),
         )
-        bisect.insort(self._tickets, ticket, key=_place)
+        bisect.insort(self._tickets, ticket, key=_sort_key)
         return ticket
 
     def serve(self, ticket: Ticket[ItemType]) -> None:
-        """Takes an entry out to serve it, which moves virtual time on."""
+        """Removes an entry to serve it, and advances the virtual time."""
         self.drop(ticket)
-        level = self._levels[-ticket.place.behind]
-        level.now = max(level.now, ticket.place.stamp)
-        # A customer whose entries all lie in the past needs no memory.
-        level.ends = {
-            name: end for name, end in level.ends.items() if end > level.now
+        level = self._levels[-ticket.place.negated_priority]
+        level.virtual_time = max(level.virtual_time, ticket.place.start_tag)
+        # Finish tags not later than the virtual time have no effect.
+        level.finish_tags = {
+            name: tag
+            for name, tag in level.finish_tags.items()
+            if tag > level.virtual_time
         }
 
     def drop(self, ticket: Ticket[ItemType]) -> None:
-        """Takes an entry out without serving it."""
-        index = bisect.bisect_left(self._tickets, ticket.place, key=_place)
+        """Removes an entry without serving it."""
+        index = bisect.bisect_left(self._tickets, ticket.place, key=_sort_key)
         del self._tickets[index]
 
 
-def _place(ticket: Ticket[ItemType]) -> _Place:
+def _sort_key(ticket: Ticket[ItemType]) -> _SortKey:
     return ticket.place
--- a/cactusdyke/limits/fleet.py
+++ b/cactusdyke/limits/fleet.py
@@ -1,4 +1,4 @@
-"""The daemons that share the customers' limits, as seen from here."""
+"""This daemon's view of the daemons that share the customers' limits."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     from cactusdyke.clock import Clock, Instant
     from cactusdyke.membership.members import Members
 
-VIEW_AGE_MS = 250.0
-LOSS_MEMORY_MS = 30_000.0
+REFRESH_INTERVAL_MS = 250.0
+LOSS_RETENTION_MS = 30_000.0
 
 
 @attrs.frozen(kw_only=True)
 class Daemon:
-    """A daemon that callers may be sent to.
+    """A daemon that callers may be directed to.
 
     Attributes:
         name: The daemon's name.
-        address: Where it serves, `host:port`.
-        data_centre: Where it stands.
-        region: The region of its data centre.
+        address: Address for callers, `host:port`.
+        data_centre: The daemon's data centre.
+        region: The region of the data centre.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 
 class Fleet(abc.ABC):
-    """Which daemons there are."""
+    """Source of the fleet's membership."""
 
     @property
     @abc.abstractmethod
@@ -44,15 +44,15 @@
 
     @abc.abstractmethod
     def serving(self) -> tuple[Daemon, ...]:
-        """Returns the daemons that callers may be sent to."""
+        """Returns the daemons that callers may be directed to."""
 
     @abc.abstractmethod
     def leaving(self) -> frozenset[str]:
-        """Returns the names of daemons that said they are leaving."""
+        """Returns the names of daemons that announced their departure."""
 
 
 class MembersFleet(Fleet):
-    """The fleet as the membership service knows it."""
+    """The fleet according to the membership service."""
 
     def __init__(self, *, members: Members) -> None:
         self._members = members
@@ -63,7 +63,7 @@
         return self._members.own.name
 
     def serving(self) -> tuple[Daemon, ...]:
-        """Returns the daemons that callers may be sent to."""
+        """Returns the daemons that callers may be directed to."""
         return tuple(
             Daemon(
                 name=member.name,
@@ -75,7 +75,7 @@
         )
 
     def leaving(self) -> frozenset[str]:
-        """Returns the names of daemons that said they are leaving."""
+        """Returns the names of daemons that announced their departure."""
         return frozenset(
             member.name
             for member in self._members.all()
@@ -84,12 +84,12 @@
 
 
 class FleetView:
-    """The fleet, read at most a few times a second, and its late losses."""
+    """Cached view of the fleet and of recently lost daemons."""
 
     def __init__(self, *, clock: Clock, fleet: Fleet) -> None:
         self._clock = clock
         self._fleet = fleet
-        self._read_at: Instant = -VIEW_AGE_MS
+        self._read_at: Instant = -REFRESH_INTERVAL_MS
         self._serving: tuple[Daemon, ...] = ()
         self._lost: dict[str, Instant] = {}
         self._version = 0
@@ -101,21 +101,22 @@
 
     @property
     def version(self) -> int:
-        """Grows whenever the serving daemons change."""
+        """Number that increases whenever the serving daemons change."""
         return self._version
 
     @property
     def serving(self) -> tuple[Daemon, ...]:
-        """The daemons that callers may be sent to."""
+        """The daemons that callers may be directed to."""
         self._refresh()
         return self._serving
 
     @property
-    def scale(self) -> float:
-        """The share of the fleet that is seen, of what was seen lately.
+    def visible_share(self) -> float:
+        """Visible daemons as a share of visible and recently lost ones.
 
-        Two sides of a cut each see the other as lost. While they remember
-        each other, their shares of every limit add up to one.
+        In a network partition each side sees the other as lost. Within
+        `LOSS_RETENTION_MS` the shares of both sides add up to one, so that
+        together they do not exceed a limit.
         """
         self._refresh()
         seen = len(self._serving)
@@ -123,21 +124,21 @@
 
     def _refresh(self) -> None:
         now = self._clock.now()
-        if now - self._read_at < VIEW_AGE_MS:
+        if now - self._read_at < REFRESH_INTERVAL_MS:
             return
         self._read_at = now
         serving = self._fleet.serving()
         if serving != self._serving:
-            self._note_losses(serving, now)
+            self._record_losses(serving, now)
             self._serving = serving
             self._version += 1
         self._lost = {
             name: at
             for name, at in self._lost.items()
-            if now - at < LOSS_MEMORY_MS
+            if now - at < LOSS_RETENTION_MS
         }
 
-    def _note_losses(self, serving: tuple[Daemon, ...], now: Instant) -> None:
+    def _record_losses(self, serving: tuple[Daemon, ...], now: Instant) -> None:
         names = {daemon.name for daemon in serving}
         planned = self._fleet.leaving()
         for daemon in self._serving:
--- a/cactusdyke/platform/program.py
+++ b/cactusdyke/platform/program.py
@@ -93,7 +93,7 @@
     def ready(self) -> bool:
         """Whether callers may be sent here."""
         informed = self._deployment.ready and self._core.quarantine.loaded
-        return informed and not self._stopping.begun
+        return informed and not self._stopping.started
 
     def _build(self) -> None:
         clock, rng, network = self._clock, self._rng, self._network
@@ -123,7 +123,7 @@
                 cores=self._settings.cores, link_mbps=self._settings.link_mbps
             ),
             ready=lambda: self.ready,
-            decided_hashes=lambda: self._core.decides,
+            decided_hashes=lambda: self._core.decided_service_hashes,
             min_count=lambda: max(
                 registry.registered_count, len(self._settings.seeds) + 1
             ),
@@ -152,8 +152,8 @@
             deployment=self._deployment,
             daemons=self._view,
             data_centre=self._settings.zone,
-            allowance=lambda: self._settings.retries,
-            stop=lambda: self._stopping.times,
+            retry_allowance=lambda: self._settings.retries,
+            stop_times=lambda: self._stopping.times,
             announce=self._members.announce,
             quarantine_store=registry,
             metrics=metrics,
--- a/cactusdyke/serving/decider.py
+++ b/cactusdyke/serving/decider.py
@@ -193,7 +193,7 @@
             spec = configuration.services.get(inputs.service)
             if spec is None or spec.batching is None:
                 continue
-            memory_bytes = spec.batching.result_room_bytes
+            memory_bytes = spec.batching.result_capacity_bytes
             if work.transfer_bytes > LARGE_INPUT_SHARE * memory_bytes:
                 return True
         return False
@@ -259,7 +259,7 @@
         return self._placer(service).place(
             placement_id,
             generation,
-            self._deployment.usable(service),
+            self._deployment.usable_replicas(service),
             spec.engine,
             exclude=exclude,
             inputs=inputs,
@@ -275,7 +275,7 @@
         if spec is None or spec.engine is None:
             return None
         return self._placer(service).locate(
-            generation, self._deployment.usable(service), spec.engine
+            generation, self._deployment.usable_replicas(service), spec.engine
         )
 
     def merge_snapshot(self, service: str, snapshot: ResourceSnapshot) -> None:
@@ -304,7 +304,7 @@
 
     def data_centre_of(self, handle: str) -> str:
         """Returns a result's data centre; empty if its replica was removed."""
-        address = self._dialect.maker_of(handle)
+        address = self._dialect.replica_address_of(handle)
         return self._deployment.data_centre_at(address)
 
     def record_first_token(self, service: str, placement_id: str) -> None:
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -280,7 +280,7 @@
                 peer, service, placement_id, generation, exclude, inputs
             )
             peer = self._deciders.decider_of(service)
-        if replica is None or not self._deployment.may_use(replica):
+        if replica is None or not self._deployment.is_usable(replica):
             peer = local
             replica = self._decider.place(
                 service, placement_id, generation, exclude, inputs
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -208,7 +208,7 @@
             public_address=f"{self.name}:2",
             size_class=0,
             ready=lambda: True,
-            decided_hashes=lambda: core.decides,
+            decided_hashes=lambda: core.decided_service_hashes,
             min_count=lambda: len(self._hosts),
         )
         core = ServingCore(
@@ -220,8 +220,8 @@
             deployment=deployment,
             daemons=view,
             data_centre=self.data_centre,
-            allowance=RetryAllowance,
-            stop=StopTimes,
+            retry_allowance=RetryAllowance,
+            stop_times=StopTimes,
             announce=members.announce,
             quarantine_store=_SavedQuarantine(
                 saved=world.saved,
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -144,7 +144,7 @@
 @when("another daemon becomes the decider of the stage and gets its snapshot")
 def results_snapshot(context):
     context.queue = StageQueue(
-        clock=context.clock, spec=batch_spec(result_room_bytes=4 * MB)
+        clock=context.clock, spec=batch_spec(result_capacity_bytes=4 * MB)
     )
     for held in context.tracker.snapshot(SERVICE).results:
         context.queue.learn_held("m1", held.handle, held.size, held.age_ms)
