--- a/bench/serving/case_j_stage_policies.py
+++ b/bench/serving/case_j_stage_policies.py
@@ -81,7 +81,7 @@
 class ByArrival(StageQueue):
     """A naive order: first come, first served."""
 
-    def _order(self, group: PieceGroup, now: float) -> tuple[bool, float]:
+    def _sort_key(self, group: PieceGroup, now: float) -> tuple[bool, float]:
         del now
         return (False, group.queued_at)
 
@@ -89,23 +89,23 @@
 class ByDeadline(StageQueue):
     """A naive order: whoever is needed first, on time or not."""
 
-    def _order(self, group: PieceGroup, now: float) -> tuple[bool, float]:
+    def _sort_key(self, group: PieceGroup, now: float) -> tuple[bool, float]:
         del now
-        return (False, group.needed_by)
+        return (False, group.objective_at)
 
 
 class CallARequest(StageQueue):
     """A naive way: each request makes calls of its own."""
 
-    def next_batch(self, makers: Sequence[str]) -> Batch | None:
+    def next_batch(self, replica_names: Sequence[str]) -> Batch | None:
         """Returns a call with the pieces of one request."""
-        if not self._waiting:
+        if not self._queued:
             return None
-        first = self._waiting[0].group
-        rest = [t for t in self._waiting if t.group is not first]
-        self._waiting = [t for t in self._waiting if t.group is first]
-        batch = super().next_batch(makers)
-        self._waiting = [*self._waiting, *rest]
+        first = self._queued[0].group
+        rest = [t for t in self._queued if t.group is not first]
+        self._queued = [t for t in self._queued if t.group is first]
+        batch = super().next_batch(replica_names)
+        self._queued = [*self._queued, *rest]
         return batch
 
 
@@ -151,19 +151,19 @@
             queue.add(groups[-1])
         else:
             results = [
-                PieceResult(handle=f"{what.maker}/{number}/{n}")
+                PieceResult(handle=f"{what.replica_name}/{number}/{n}")
                 for n in range(len(what.tasks))
             ]
-            for task in queue.ended(what, results):
+            for task in queue.call_ended(what, results):
                 ends[id(task.group)] = clock.ms
         queue.expire()
         while (batch := queue.next_batch(makers)) is not None:
             took = SPEC.call_ms + len(batch.tasks) * SPEC.piece_ms
-            end = clock.ms + took * pace[batch.maker]
+            end = clock.ms + took * pace[batch.replica_name]
             heapq.heappush(happenings, (end, next(order), batch))
     on_time = sum(
         all(task.result and task.result.handle for task in group.tasks)
-        and ends[id(group)] <= group.needed_by
+        and ends[id(group)] <= group.objective_at
         for group in groups
     )
     return 100.0 * on_time / len(groups)
@@ -206,8 +206,8 @@
 
 def _group(arrival: Arrival, number: int, now: float) -> PieceGroup:
     group = PieceGroup(
-        needed_by=arrival.needed_by,
-        ends_at=arrival.at + PATIENCE_MS,
+        objective_at=arrival.needed_by,
+        deadline_at=arrival.at + PATIENCE_MS,
         priority=arrival.priority,
         result_bytes=0.0,
         queued_at=now,
--- a/cactusdyke/platform/program.py
+++ b/cactusdyke/platform/program.py
@@ -29,8 +29,8 @@
 from cactusdyke.platform.wire import PlatformDialect
 from cactusdyke.serving.core import ServingCore
 from cactusdyke.serving.deployment import Deployment
-from cactusdyke.serving.measures import ServingMetrics
 from cactusdyke.serving.member_view import MemberView
+from cactusdyke.serving.metrics import ServingMetrics
 from cactusdyke.serving.peers import size_class
 from cactusdyke.serving.planned_stop import PlannedStop
 from cactusdyke.serving.processor_load import ProcessorLoad
--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -12,7 +12,7 @@
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.serving.dialect import PieceFailure, PieceResult
 from cactusdyke.serving.dispatch_messages import StageMade
-from cactusdyke.serving.maker_reports import MakerReports
+from cactusdyke.serving.maker_reports import MemoryReports
 from cactusdyke.serving.stage_queue import Batch, PieceGroup, StageQueue
 from cactusdyke.transport.exchange import ExchangeError
 
@@ -30,23 +30,23 @@
 
 FreeInputs: TypeAlias = "Callable[[str, Sequence[str]], bool]"
 """Frees results of a service early, where that is worth it; says whether."""
-MOST_ANSWER_BYTES = 1 << 20
-SLOWEST_CALL = 4.0
+MAX_ANSWER_BYTES = 1 << 20
+MAX_CALL_SLOWDOWN = 4.0
 """Times its expected length after which a call counts as lost."""
-LEAST_CALL_TIMEOUT_MS = 900.0
+MIN_CALL_TIMEOUT_MS = 900.0
 FREE_TIMEOUT_MS = 500.0
-FREE_EVERY_MS = 15.0
-LEAST_RETRY_AFTER_MS = 200.0
+FREE_INTERVAL_MS = 15.0
+MIN_RETRY_AFTER_MS = 200.0
 """About a call: sooner there is no room for what found none."""
-MOST_RETRY_AFTER_MS = 5_000.0
+MAX_RETRY_AFTER_MS = 5_000.0
 """Bursts were seen to last so long; by then the backlog is another."""
 FIRST_REPORT_MS = 50.0
 """A replica that does not tell its memory by then is called all the same."""
-FETCH_MS = 40.0
+FETCH_OVERHEAD_MS = 40.0
 """Connecting and reading the call, with room for a slow moment."""
 FETCH_BYTES_PER_MS = 250_000.0
 """A fifth of the links that replicas have: makers serve several at once."""
-TICK_MS = 50.0
+CHECK_INTERVAL_MS = 50.0
 """How often waiting pieces are looked at, to be called or given up."""
 
 
@@ -73,17 +73,17 @@
         self._dialect = dialect
         self._tasks = tasks
         self._queue = StageQueue(clock=clock, spec=spec)
-        self._done: dict[int, anyio.Event] = {}
+        self._done_events: dict[int, anyio.Event] = {}
         self._to_free: dict[str, list[str]] = {}
-        self._ticking = False
-        self._reports = MakerReports(
+        self._checking = False
+        self._memory_reports = MemoryReports(
             clock=clock,
             deployment=deployment,
             dialect=dialect,
             connections=connections,
             queue=self._queue,
             tasks=tasks,
-            told=self._pump,
+            on_report=self._start_calls,
         )
 
     def take_over(self) -> None:
@@ -91,10 +91,10 @@
 
         Another daemon may have decided until now, and may be gone.
         """
-        names = self._makers()
+        names = self._usable_replicas()
         until = self._clock.now() + FIRST_REPORT_MS
-        self._queue.ask_first(names, until)
-        self._reports.follow(names)
+        self._queue.require_reports(names, until)
+        self._memory_reports.poll(names)
 
     @property
     def queue(self) -> StageQueue:
@@ -114,26 +114,26 @@
             refusal = self._refusal(group)
             if refusal is not None:
                 return Err(refusal)
-        self._stay_with_inputs(group)
-        done = self._done[id(group)] = anyio.Event()
+        self._prefer_data_centre_of_inputs(group)
+        done = self._done_events[id(group)] = anyio.Event()
         self._queue.add(group)
-        self._pump()
+        self._start_calls()
         try:
             await done.wait()
         finally:
-            del self._done[id(group)]
+            del self._done_events[id(group)]
             if not group.done:
                 self._queue.cancel(group)
                 self._free_results(group)
         return self._outcome(group)
 
-    def learn(self, results: Sequence[HeldResult]) -> None:
+    def record_held_results(self, results: Sequence[HeldResult]) -> None:
         """Takes what another daemon's requests hold at the makers."""
         for result in results:
             address = self._dialect.maker_of(result.handle)
             maker = self._deployment.replica_at(address)
             if maker is not None:
-                self._queue.learn_held(
+                self._queue.record_held_result(
                     maker.name, result.handle, result.size, result.age_ms
                 )
 
@@ -147,7 +147,7 @@
             maker = self._dialect.maker_of(handle)
             self._to_free.setdefault(maker, []).append(handle)
 
-    def _stay_with_inputs(self, group: PieceGroup) -> None:
+    def _prefer_data_centre_of_inputs(self, group: PieceGroup) -> None:
         """Has pieces made where most of their inputs lie.
 
         Each piece fetches all results of the stages before. Made in another
@@ -165,18 +165,18 @@
 
     def _refusal(self, group: PieceGroup) -> Failure | None:
         """Refuses at once what could only be given up later."""
-        makers = self._makers()
+        makers = self._usable_replicas()
         ahead = self._queue.ahead_of(group) + len(group.tasks)
         backlog_ms = self._queue.backlog_ms(makers, ahead)
-        left_ms = group.ends_at - self._clock.now()
+        left_ms = group.deadline_at - self._clock.now()
         if makers and backlog_ms + self._queue.spec.call_ms <= left_ms:
             return None
-        self._log_given_up(group, "refused at once")
+        self._log_abandoned(group, "refused at once")
         return Failure(
             kind=FailureKind.OVERLOADED,
             detail=f"the stage service {self._service} is busy for longer"
             " than the request can wait",
-            retry_after_ms=self._come_back_ms(),
+            retry_after_ms=self._retry_after_ms(),
         )
 
     def _outcome(self, group: PieceGroup) -> Result[StageMade, Failure]:
@@ -186,7 +186,7 @@
             if task.result is not None and task.result.failure is not None
         ]
         if failures:
-            self._log_given_up(group, str(failures[0]))
+            self._log_abandoned(group, str(failures[0]))
         if set(failures) <= {PieceFailure.INPUT_GONE}:
             return Ok(
                 StageMade(
@@ -202,18 +202,16 @@
                 kind=FailureKind.OVERLOADED,
                 detail=f"a piece of {self._service} has no result:"
                 f" {failures[0]}",
-                retry_after_ms=self._come_back_ms(),
+                retry_after_ms=self._retry_after_ms(),
             )
         )
 
-    def _come_back_ms(self) -> int:
+    def _retry_after_ms(self) -> int:
         """Returns when there should be room for what is refused now."""
         backlog_ms = self._queue.backlog().all_ms
-        return int(
-            min(MOST_RETRY_AFTER_MS, max(LEAST_RETRY_AFTER_MS, backlog_ms))
-        )
+        return int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, backlog_ms)))
 
-    def _log_given_up(self, group: PieceGroup, reason: str) -> None:
+    def _log_abandoned(self, group: PieceGroup, reason: str) -> None:
         now = self._clock.now()
         piece = group.tasks[0].piece
         events.log(
@@ -224,42 +222,42 @@
             pieces=len(group.tasks),
             reason=reason,
             waited_ms=round(now - group.queued_at),
-            left_ms=round(group.ends_at - now),
-            hopeful=group.hopeful,
-            begun=group.begun,
-            waiting=self._queue.waiting,
+            left_ms=round(group.deadline_at - now),
+            hopeful=group.feasible,
+            begun=group.started,
+            waiting=self._queue.queued_count,
         )
 
     def _free_results(self, group: PieceGroup) -> None:
         results = [task.result for task in group.tasks if task.result]
         self.free([result.handle for result in results if result.handle])
 
-    def _makers(self) -> list[str]:
+    def _usable_replicas(self) -> list[str]:
         usable = self._deployment.usable(self._service)
         for replica in usable:
-            self._queue.stands_in(replica.name, replica.data_centre)
+            self._queue.set_data_centre(replica.name, replica.data_centre)
         return [replica.name for replica in usable]
 
-    def _pump(self) -> None:
+    def _start_calls(self) -> None:
         """Starts every call that can be made now; ticks for what is left."""
         while True:
-            batch = self._queue.next_batch(self._makers())
+            batch = self._queue.next_batch(self._usable_replicas())
             if batch is None:
                 break
             self._tasks.start_soon(self._call, batch)
         # Nothing tells when a replica's pause is over, when results in its
         # memory expire, or when another replica joins.
-        if self._queue.waiting:
-            self._tick_soon()
+        if self._queue.queued_count:
+            self._ensure_checks()
 
     async def _call(self, batch: Batch) -> None:
-        replica = self._deployment.replica(batch.maker)
+        replica = self._deployment.replica(batch.replica_name)
         results: list[PieceResult] | None = None
         detail = "the replica is gone"
         refused = False
         if replica is not None:
             timeout_ms = max(
-                LEAST_CALL_TIMEOUT_MS, SLOWEST_CALL * batch.expected_ms
+                MIN_CALL_TIMEOUT_MS, MAX_CALL_SLOWDOWN * batch.expected_ms
             )
             try:
                 with self._clock.timeout(timeout_ms) as scope:
@@ -276,7 +274,7 @@
             events.log(
                 events.Event.STAGE_CALL_FAILED,
                 service=self._service,
-                backend_server=batch.maker,
+                backend_server=batch.replica_name,
                 pieces=len(batch.tasks),
                 took_ms=round(took_ms),
                 detail=detail,
@@ -286,28 +284,28 @@
             events.log(
                 events.Event.STAGE_CALL_ENDED,
                 service=self._service,
-                backend_server=batch.maker,
+                backend_server=batch.replica_name,
                 pieces=len(batch.tasks),
                 made=made,
                 failures=[str(r.failure) for r in results if r.failure],
                 took_ms=round(took_ms),
                 expected_ms=round(batch.expected_ms),
-                waiting=self._queue.waiting,
-                held_bytes=round(self._queue.held_bytes(batch.maker)),
-                crossed_bytes=round(self._crossed_bytes(batch)),
+                waiting=self._queue.queued_count,
+                held_bytes=round(self._queue.held_bytes(batch.replica_name)),
+                crossed_bytes=round(self._transferred_bytes(batch)),
             )
         if refused:
-            settled = self._queue.refused(batch)
+            settled = self._queue.call_refused(batch)
         else:
-            settled = self._queue.ended(batch, results)
+            settled = self._queue.call_ended(batch, results)
             if any(r.failure is PieceFailure.NO_ROOM for r in results or ()):
-                self._reports.follow([batch.maker])
+                self._memory_reports.poll([batch.replica_name])
         for task in batch.tasks:
-            if task.group.cancelled and _made(task.result):
+            if task.group.cancelled and _has_result(task.result):
                 assert task.result is not None
                 self.free([task.result.handle])
         self._settle([task.group for task in settled])
-        self._pump()
+        self._start_calls()
 
     async def _free_when_fetched(self, batch: Batch) -> None:
         """Frees what a call works on as soon as it must have fetched it.
@@ -318,28 +316,30 @@
         with others' pieces waiting.
         """
         moved = sum(
-            task.group.moved_bytes for task in batch.tasks if task.piece.inputs
+            task.group.transfer_bytes
+            for task in batch.tasks
+            if task.piece.inputs
         )
         if not moved:
             return
-        await self._clock.sleep(FETCH_MS + moved / FETCH_BYTES_PER_MS)
+        await self._clock.sleep(FETCH_OVERHEAD_MS + moved / FETCH_BYTES_PER_MS)
         if batch.ended:
             return
         for task in batch.tasks:
-            task.fetched = True
+            task.inputs_fetched = True
         for group in {id(t.group): t.group for t in batch.tasks}.values():
-            if not group.holds_scarce:
+            if not group.inputs_in_scarce_memory:
                 continue
-            if group.fetched and not group.inputs_freed:
+            if group.inputs_fetched and not group.inputs_freed:
                 freed = [
                     self._free_inputs(inputs.service, inputs.handles)
                     for inputs in group.last_use_of
                 ]
                 group.inputs_freed = any(freed)
 
-    def _crossed_bytes(self, batch: Batch) -> float:
+    def _transferred_bytes(self, batch: Batch) -> float:
         """Returns about what a call fetched from other data centres."""
-        maker = self._deployment.replica(batch.maker)
+        maker = self._deployment.replica(batch.replica_name)
         if maker is None:
             return 0.0
         crossed = 0.0
@@ -350,7 +350,7 @@
                 != maker.data_centre
                 for handle in inputs
             )
-            crossed += far * task.group.moved_bytes / max(1, len(inputs))
+            crossed += far * task.group.transfer_bytes / max(1, len(inputs))
         return crossed
 
     async def _exchange(
@@ -358,7 +358,7 @@
     ) -> list[PieceResult] | None:
         now = self._clock.now()
         call = self._dialect.encode_pieces(
-            replica, [(t.piece, t.group.ends_at - now) for t in batch.tasks]
+            replica, [(t.piece, t.group.deadline_at - now) for t in batch.tasks]
         )
         async with self._connections.connect(replica.address) as exchange:
             await exchange.send(
@@ -366,7 +366,7 @@
             )
             self._tasks.start_soon(self._free_when_fetched, batch)
             head = await exchange.head()
-            body = await exchange.whole_body(most=MOST_ANSWER_BYTES)
+            body = await exchange.whole_body(most=MAX_ANSWER_BYTES)
         if head.status == 421:
             self._deployment.mark_gone(
                 replica, reason="another has its address"
@@ -375,17 +375,17 @@
 
     def _settle(self, groups: Sequence[PieceGroup]) -> None:
         for group in groups:
-            done = self._done.get(id(group))
+            done = self._done_events.get(id(group))
             if done is not None and group.done:
                 done.set()
 
     async def _send_frees(self) -> None:
-        await self._clock.sleep(FREE_EVERY_MS)
+        await self._clock.sleep(FREE_INTERVAL_MS)
         to_free, self._to_free = self._to_free, {}
         async with anyio.create_task_group() as tasks:
             for address, handles in to_free.items():
                 tasks.start_soon(self._send_free, address, handles)
-        self._pump()
+        self._start_calls()
 
     async def _send_free(self, address: str, handles: list[str]) -> None:
         maker = next(
@@ -415,20 +415,20 @@
                 detail=str(error),
             )
             return
-        self._queue.freed(maker.name, handles)
+        self._queue.results_freed(maker.name, handles)
 
-    def _tick_soon(self) -> None:
-        if not self._ticking:
-            self._ticking = True
-            self._tasks.start_soon(self._tick)
+    def _ensure_checks(self) -> None:
+        if not self._checking:
+            self._checking = True
+            self._tasks.start_soon(self._check_periodically)
 
-    async def _tick(self) -> None:
-        while self._queue.waiting:
-            await self._clock.sleep(TICK_MS)
+    async def _check_periodically(self) -> None:
+        while self._queue.queued_count:
+            await self._clock.sleep(CHECK_INTERVAL_MS)
             self._settle([task.group for task in self._queue.expire()])
-            self._pump()
-        self._ticking = False
+            self._start_calls()
+        self._checking = False
 
 
-def _made(result: PieceResult | None) -> bool:
+def _has_result(result: PieceResult | None) -> bool:
     return result is not None and bool(result.handle)
--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -32,7 +32,7 @@
     from cactusdyke.observe.tracing import Tracing
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
-    from cactusdyke.serving.measures import ServingMetrics
+    from cactusdyke.serving.metrics import ServingMetrics
     from cactusdyke.serving.peers import PeerDaemons
     from cactusdyke.serving.planned_stop import StopTimes
     from cactusdyke.serving.quarantine import QuarantineStore
--- a/cactusdyke/serving/decider.py
+++ b/cactusdyke/serving/decider.py
@@ -110,17 +110,17 @@
         """
         now = self._clock.now()
         group = PieceGroup(
-            needed_by=now + work.needed_in_ms,
-            ends_at=now + work.ends_in_ms,
+            objective_at=now + work.needed_in_ms,
+            deadline_at=now + work.ends_in_ms,
             priority=work.priority,
             result_bytes=work.result_bytes,
             data_centre=work.data_centre,
-            moved_bytes=work.moved_bytes,
+            transfer_bytes=work.moved_bytes,
             last_use_of=work.last_use_of,
-            begun=work.again,
+            started=work.again,
         )
         group.tasks = [PieceTask(piece=p, group=group) for p in work.pieces]
-        group.holds_scarce = self._holds_scarce(work)
+        group.inputs_in_scarce_memory = self._holds_scarce(work)
         with self._tracing.of_request(
             "pieces",
             work.pieces[0].request_id,
@@ -192,7 +192,7 @@
         knows what the other's results take of the replicas' memory.
         """
         for known in tuple(self._groups.values()):
-            if known.pinned or known.group.begun:
+            if known.pinned or known.group.started:
                 continue
             if not decides_here(known.service):
                 known.scope.cancel()
@@ -247,7 +247,7 @@
         spec = configuration.services.get(service) if configuration else None
         batcher = self._batcher(service)
         if batcher is not None:
-            batcher.learn(briefing.results)
+            batcher.record_held_results(briefing.results)
         if spec is None or spec.engine is None:
             return
         placer = self._placer(service)
--- a/cactusdyke/serving/decider_interface.py
+++ b/cactusdyke/serving/decider_interface.py
@@ -55,7 +55,7 @@
             return failure_response(cancelled(work))
         backlog = self._decider.backlog(work.service)
         body: dict[str, Any] = {
-            "backlog": [round(backlog.hopeful_ms), round(backlog.all_ms)]
+            "backlog": [round(backlog.feasible_ms), round(backlog.all_ms)]
         }
         if isinstance(answer, Err):
             body["failure"] = failure_to(answer.err_value)
--- a/cactusdyke/serving/dispatch.py
+++ b/cactusdyke/serving/dispatch.py
@@ -190,13 +190,13 @@
         told, at = self._backlogs.get(service, (Backlog(), 0.0))
         age_ms = self._clock.now() - at
         return Backlog(
-            hopeful_ms=max(0.0, told.hopeful_ms - age_ms),
+            feasible_ms=max(0.0, told.feasible_ms - age_ms),
             all_ms=max(0.0, told.all_ms - age_ms),
         )
 
     def _told_backlog(self, service: str, value: Any) -> None:
         if isinstance(value, list) and len(value) == BACKLOG_VALUES:
-            told = Backlog(hopeful_ms=float(value[0]), all_ms=float(value[1]))
+            told = Backlog(feasible_ms=float(value[0]), all_ms=float(value[1]))
             self._backlogs[service] = (told, self._clock.now())
 
     def free(self, service: str, handles: Sequence[str]) -> None:
--- a/cactusdyke/serving/durations.py
+++ b/cactusdyke/serving/durations.py
@@ -12,13 +12,13 @@
 
     from cactusdyke.serving.model import Route
 
-STREAM_MS = 3_000.0
-WHOLE_MS = 700.0
+DEFAULT_STREAM_MS = 3_000.0
+DEFAULT_ANSWER_MS = 700.0
 """Assumed of a route of which nothing was answered here yet."""
-LAST_REQUESTS = 40
-LONG_SHARE = 0.95
+MAX_SAMPLES = 40
+QUANTILE = 0.95
 """Of a route's last requests; as many end within the time that is told."""
-MOST_ROUTES = 200
+MAX_ROUTES = 200
 
 
 @attrs.frozen(kw_only=True)
@@ -42,33 +42,33 @@
     """
 
     def __init__(self) -> None:
-        self._last: collections.OrderedDict[
+        self._samples: collections.OrderedDict[
             str, collections.deque[RequestDuration]
         ] = collections.OrderedDict()
 
-    def note(self, route: Route, duration: RequestDuration) -> None:
+    def record(self, route: Route, duration: RequestDuration) -> None:
         """Takes how long an answered request took."""
-        last = self._last.setdefault(
-            route.name, collections.deque(maxlen=LAST_REQUESTS)
+        last = self._samples.setdefault(
+            route.name, collections.deque(maxlen=MAX_SAMPLES)
         )
         last.append(duration)
-        self._last.move_to_end(route.name)
-        while len(self._last) > MOST_ROUTES:
-            self._last.popitem(last=False)
+        self._samples.move_to_end(route.name)
+        while len(self._samples) > MAX_ROUTES:
+            self._samples.popitem(last=False)
 
-    def long_ms(self, route: Route) -> float:
+    def quantile_ms(self, route: Route) -> float:
         """Returns the time in which nearly all requests of a route end."""
-        last = self._last.get(route.name, ())
-        return _long(route, (duration.took_ms for duration in last))
+        last = self._samples.get(route.name, ())
+        return _quantile_ms(route, (duration.took_ms for duration in last))
 
-    def long_attempt_ms(self, route: Route) -> float:
+    def quantile_attempt_ms(self, route: Route) -> float:
         """Returns the time in which nearly all attempts of a route end."""
-        last = self._last.get(route.name, ())
-        return _long(route, (duration.attempt_ms for duration in last))
+        last = self._samples.get(route.name, ())
+        return _quantile_ms(route, (duration.attempt_ms for duration in last))
 
 
-def _long(route: Route, durations_ms: Iterable[float]) -> float:
+def _quantile_ms(route: Route, durations_ms: Iterable[float]) -> float:
     ordered = sorted(durations_ms)
     if not ordered:
-        return STREAM_MS if route.streaming else WHOLE_MS
-    return ordered[int(LONG_SHARE * (len(ordered) - 1) + 0.5)]
+        return DEFAULT_STREAM_MS if route.streaming else DEFAULT_ANSWER_MS
+    return ordered[int(QUANTILE * (len(ordered) - 1) + 0.5)]
--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -39,7 +39,7 @@
     from cactusdyke.serving.dialect import Dialect
     from cactusdyke.serving.dispatch import Dispatch, Placed
     from cactusdyke.serving.health import ReplicaHealth
-    from cactusdyke.serving.measures import ServingMetrics
+    from cactusdyke.serving.metrics import ServingMetrics
     from cactusdyke.serving.model import Customer, Replica, Route
     from cactusdyke.serving.next_attempt import NextAttempt
     from cactusdyke.serving.planned_stop import StopTimes
@@ -125,7 +125,7 @@
             kind=failure.kind.code,
             detail=failure.detail,
         )
-        self._metrics.ended("", "unread", 0.0)
+        self._metrics.request_ended("", "unread", 0.0)
         return self._dialect.encode_failure(failure, "")
 
     async def handle(self, request: ReadRequest, reply: Reply) -> None:
@@ -189,7 +189,7 @@
         now = self._clock.now()
         if route.streaming and now > stop.streams_until:
             return False
-        return now + self._durations.long_ms(route) <= stop.answers_by
+        return now + self._durations.quantile_ms(route) <= stop.answers_by
 
     def _context(
         self, request: ClientRequest, route: Route, customer: Customer | None
@@ -248,7 +248,7 @@
                 took_ms=now - context.request.arrived_at,
                 attempt_ms=now - context.engine_asked_at,
             )
-            self._durations.note(context.route, duration)
+            self._durations.record(context.route, duration)
             self._log.answered(context, state)
             return
         self._log.failed(failure, context.request.request_id, context)
@@ -308,7 +308,7 @@
         handles = await self._stages.run(context, results)
         took_ms = self._clock.now() - began
         context.stages_ms += took_ms
-        self._metrics.stages(context.route.name, took_ms)
+        self._metrics.observe_stages(context.route.name, took_ms)
         refusal = self._quarantine.refusal(context)
         return Err(refusal) if refusal else handles
 
--- a/cactusdyke/serving/in_flight.py
+++ b/cactusdyke/serving/in_flight.py
@@ -94,4 +94,4 @@
         if request.context.asking:
             return answers_by
         route = request.context.route
-        return answers_by - self._durations.long_attempt_ms(route)
+        return answers_by - self._durations.quantile_attempt_ms(route)
--- a/cactusdyke/serving/maker_reports.py
+++ b/cactusdyke/serving/maker_reports.py
@@ -27,18 +27,18 @@
     from cactusdyke.serving.stage_queue import StageQueue
     from cactusdyke.transport.exchange import BackendConnections
 
-ASK_EVERY_MS = 200.0
+POLL_INTERVAL_MS = 200.0
 """Reports are a few hundred milliseconds old; oftener they say the same."""
 MOST_QUESTIONS = 30
 """Six seconds: longer than a forgotten result was seen to lie."""
-ANSWER_WITHIN_MS = 250.0
-MOST_ANSWER_BYTES = 1 << 16
-LITTLE_SHARE = 0.03
+POLL_TIMEOUT_MS = 250.0
+MAX_ANSWER_BYTES = 1 << 16
+NEGLIGIBLE_SHARE = 0.03
 """Of a replica's memory; less that is not known here makes no difference."""
-CALM_REPORTS = 2
+MIN_NEGLIGIBLE_REPORTS = 2
 
 
-class MakerReports:
+class MemoryReports:
     """Follows replicas' own word for as long as it says something new."""
 
     def __init__(
@@ -50,7 +50,7 @@
         connections: BackendConnections,
         queue: StageQueue,
         tasks: TaskGroup,
-        told: Callable[[], None],
+        on_report: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._deployment = deployment
@@ -58,41 +58,41 @@
         self._connections = connections
         self._queue = queue
         self._tasks = tasks
-        self._told = told
-        self._followed: set[str] = set()
+        self._on_report = on_report
+        self._polled: set[str] = set()
 
-    def follow(self, names: Iterable[str]) -> None:
+    def poll(self, names: Iterable[str]) -> None:
         """Asks replicas until nothing unknown is left in their memory."""
         for name in names:
             replica = self._deployment.replica(name)
-            if replica is not None and name not in self._followed:
-                self._followed.add(name)
-                self._tasks.start_soon(self._follow, replica)
+            if replica is not None and name not in self._polled:
+                self._polled.add(name)
+                self._tasks.start_soon(self._poll, replica)
 
-    async def _follow(self, replica: Replica) -> None:
+    async def _poll(self, replica: Replica) -> None:
         calm = 0
         try:
             for _ in range(MOST_QUESTIONS):
-                told = await self._ask(replica)
+                told = await self._request_report(replica)
                 if told is None:
                     return
-                share = self._queue.told_free(replica.name, told)
-                self._told()
-                calm = calm + 1 if share < LITTLE_SHARE else 0
-                if calm >= CALM_REPORTS:
+                share = self._queue.apply_report(replica.name, told)
+                self._on_report()
+                calm = calm + 1 if share < NEGLIGIBLE_SHARE else 0
+                if calm >= MIN_NEGLIGIBLE_REPORTS:
                     return
-                await self._clock.sleep(ASK_EVERY_MS)
+                await self._clock.sleep(POLL_INTERVAL_MS)
         finally:
-            self._followed.discard(replica.name)
+            self._polled.discard(replica.name)
 
-    async def _ask(self, replica: Replica) -> MemoryTold | None:
+    async def _request_report(self, replica: Replica) -> MemoryTold | None:
         """Returns the memory that a replica says is free, None if it doesn't.
 
         Without its word it is found out by pieces that find no room.
         """
         call = self._dialect.encode_report(replica)
         try:
-            with self._clock.timeout(ANSWER_WITHIN_MS):
+            with self._clock.timeout(POLL_TIMEOUT_MS):
                 async with self._connections.connect(
                     replica.address
                 ) as exchange:
@@ -100,7 +100,7 @@
                         call.method, call.target, call.headers, call.body
                     )
                     head = await exchange.head()
-                    body = await exchange.whole_body(most=MOST_ANSWER_BYTES)
+                    body = await exchange.whole_body(most=MAX_ANSWER_BYTES)
                 return self._dialect.decode_report(head, body)
         except ExchangeError as error:
             events.log(
--- a/cactusdyke/serving/measures.py
+++ b/cactusdyke/serving/metrics.py
@@ -56,17 +56,17 @@
         """Counts a replica that crashed under requests of this daemon."""
         self._crashes.labels(service).inc()
 
-    def quarantined(self, count: int) -> None:
+    def set_quarantined(self, count: int) -> None:
         """Notes how many requests are quarantined."""
         self._quarantined.set(count)
 
-    def ended(self, route: str, outcome: str, took_ms: float) -> None:
+    def request_ended(self, route: str, outcome: str, took_ms: float) -> None:
         """Counts a request that has ended."""
         self._requests.labels(route, outcome).inc()
         if outcome in {"on_time", "late"}:
             self._seconds.labels(route).observe(took_ms / MS_PER_SECOND)
 
-    def stages(self, route: str, took_ms: float) -> None:
+    def observe_stages(self, route: str, took_ms: float) -> None:
         """Counts the time of a request's stages."""
         self._stage_seconds.labels(route).observe(took_ms / MS_PER_SECOND)
 
--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -45,7 +45,7 @@
 
     from cactusdyke.clock import Clock
     from cactusdyke.membership.member import Member
-    from cactusdyke.serving.measures import ServingMetrics
+    from cactusdyke.serving.metrics import ServingMetrics
     from cactusdyke.serving.model import Replica
     from cactusdyke.serving.peers import PeerDaemon, PeerDaemons
     from cactusdyke.serving.request import ServingContext
@@ -263,7 +263,7 @@
                 replicas=self._known.crashes(digest),
             )
         self._quarantined = now
-        self._metrics.quarantined(len(now))
+        self._metrics.set_quarantined(len(now))
         told, self._told = self._told, anyio.Event()
         told.set()
 
--- a/cactusdyke/serving/request_log.py
+++ b/cactusdyke/serving/request_log.py
@@ -11,7 +11,7 @@
     from cactusdyke.errors import Failure
     from cactusdyke.serving.attempt import StreamState
     from cactusdyke.serving.deployment import Deployment
-    from cactusdyke.serving.measures import ServingMetrics
+    from cactusdyke.serving.metrics import ServingMetrics
     from cactusdyke.serving.request import ServingContext
 
 
@@ -40,7 +40,7 @@
             or not context.route.streaming
         )
         outcome = "on_time" if on_time else "late"
-        self._metrics.ended(context.route.name, outcome, first_ms)
+        self._metrics.request_ended(context.route.name, outcome, first_ms)
         events.log(
             events.Event.REQUEST_ANSWERED,
             request_id=context.request.request_id,
@@ -83,7 +83,7 @@
                 "results_made": _results_made(context),
             }
         route = context.route.name if context else ""
-        self._metrics.ended(route, failure.kind.code, took_ms)
+        self._metrics.request_ended(route, failure.kind.code, took_ms)
         events.log(
             events.Event.REQUEST_FAILED,
             request_id=request_id,
@@ -115,7 +115,7 @@
         state: StreamState,
     ) -> None:
         took_ms = self._clock.now() - context.request.arrived_at
-        self._metrics.ended(context.route.name, outcome, took_ms)
+        self._metrics.request_ended(context.route.name, outcome, took_ms)
         events.log(
             event,
             request_id=context.request.request_id,
--- a/cactusdyke/serving/stages.py
+++ b/cactusdyke/serving/stages.py
@@ -14,7 +14,7 @@
     StageMade,
     StageWork,
 )
-from cactusdyke.serving.stage_queue import LARGE_BYTES
+from cactusdyke.serving.stage_queue import LARGE_TRANSFER_BYTES
 
 if TYPE_CHECKING:
     import random
@@ -202,7 +202,7 @@
             (
                 self._dispatch.backlog(
                     context.route.stages[number].service
-                ).hopeful_ms
+                ).feasible_ms
                 + self._stage_ms(context, results, number)
                 + self._rest_ms(context, results, number)
                 for number in results.present()
@@ -435,7 +435,7 @@
             (context.route.stages[n].result_bytes for n in results.last()),
             default=0.0,
         )
-        if generation is None or largest < LARGE_BYTES:
+        if generation is None or largest < LARGE_TRANSFER_BYTES:
             return ""
         return await self._dispatch.locate(context.service, generation)
 
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -16,8 +16,8 @@
 from cactusdyke.observe.tracing import Tracing
 from cactusdyke.serving.core import ServingCore
 from cactusdyke.serving.deployment import Deployment
-from cactusdyke.serving.measures import ServingMetrics
 from cactusdyke.serving.member_view import MemberView
+from cactusdyke.serving.metrics import ServingMetrics
 from cactusdyke.serving.planned_stop import StopTimes
 from cactusdyke.serving.quarantine import QuarantineStore
 from cactusdyke.serving.retry_budget import RetryAllowance
--- a/emulator/naive.py
+++ b/emulator/naive.py
@@ -14,7 +14,7 @@
 class ByArrival(StageQueue):
     """First come, first served."""
 
-    def _order(self, group: PieceGroup, now: Instant) -> tuple[bool, float]:
+    def _sort_key(self, group: PieceGroup, now: Instant) -> tuple[bool, float]:
         del now
         return (False, group.queued_at)
 
@@ -22,6 +22,6 @@
 class ByDeadline(StageQueue):
     """Whoever is needed first, on time or not."""
 
-    def _order(self, group: PieceGroup, now: Instant) -> tuple[bool, float]:
+    def _sort_key(self, group: PieceGroup, now: Instant) -> tuple[bool, float]:
         del now
-        return (False, group.needed_by)
+        return (False, group.objective_at)
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -231,7 +231,7 @@
 
 def _group(name):
     group = PieceGroup(
-        needed_by=5_000.0, ends_at=9_000.0, priority=0, result_bytes=1.0
+        objective_at=5_000.0, deadline_at=9_000.0, priority=0, result_bytes=1.0
     )
     piece = Piece(request_id=name, stage=0, number=0, key="k")
     group.tasks = [PieceTask(piece=piece, group=group)]
@@ -270,7 +270,7 @@
             tasks.start_soon(make, context.begun)
             tasks.start_soon(make, context.waits)
             await anyio.sleep(0.01)
-            context.begun.begun = True
+            context.begun.started = True
             decider.hand_over(lambda service: True)
             await anyio.sleep(0.01)
             context.kept = list(context.given_back)
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -143,15 +143,19 @@
         clock=context.clock, spec=batch_spec(result_room_bytes=4 * MB)
     )
     for held in context.holdings.briefing(SERVICE).results:
-        context.queue.learn_held("m1", held.handle, held.size, held.age_ms)
-        context.queue.learn_held("m1", held.handle, held.size, held.age_ms)
-    context.queue.add(group("a", 3, context.clock.ms, ends_at=60_000.0))
+        context.queue.record_held_result(
+            "m1", held.handle, held.size, held.age_ms
+        )
+        context.queue.record_held_result(
+            "m1", held.handle, held.size, held.age_ms
+        )
+    context.queue.add(group("a", 3, context.clock.ms, deadline_at=60_000.0))
 
 
 @then("it sends the maker nothing until they are freed")
 def sends_nothing(context):
     assert context.queue.next_batch(["m1"]) is None
-    context.queue.freed("m1", ["m1/0", "m1/1"])
+    context.queue.results_freed("m1", ["m1/0", "m1/1"])
     assert len(context.queue.next_batch(["m1"]).tasks) == 2
     assert context.queue.next_batch(["m1"]) is None
 
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -23,7 +23,7 @@
 def stop_in_ten(context):
     context.route = route(streaming=True)
     context.durations = RouteDurations()
-    context.durations.note(
+    context.durations.record(
         context.route,
         RequestDuration(took_ms=TOOK_MS, attempt_ms=ATTEMPT_MS),
     )
--- a/features/steps/places_steps.py
+++ b/features/steps/places_steps.py
@@ -78,7 +78,7 @@
 
 @when("a request of 7 large results without inputs is queued")
 def seven_large(context):
-    context.queue.add(group("a", 7, needed_by=3_000.0, moved_bytes=MB))
+    context.queue.add(group("a", 7, objective_at=3_000.0, transfer_bytes=MB))
     context.first = context.queue.next_batch(["m1", "m2"])
 
 
@@ -87,24 +87,26 @@
     assert len(context.first.tasks) == 5
     assert context.queue.next_batch(["m1", "m2"]) is None
     context.clock.ms += 278.0
-    context.queue.ended(context.first, made(context.first))
+    context.queue.call_ended(context.first, made(context.first))
     rest = context.queue.next_batch(["m1", "m2"])
-    assert rest.maker == context.first.maker
+    assert rest.replica_name == context.first.replica_name
     assert len(rest.tasks) == 2
 
 
 @when("3 pieces wait whose inputs lie with a replica that is busy for 270 ms")
 def busy_for_long(context):
-    context.queue.add(group("a", 5, data_centre="at-m1", moved_bytes=MB))
-    assert context.queue.next_batch(["m1", "m2"]).maker == "m1"
+    context.queue.add(group("a", 5, data_centre="at-m1", transfer_bytes=MB))
+    assert context.queue.next_batch(["m1", "m2"]).replica_name == "m1"
     context.queue.add(
-        group("b", 3, needed_by=3_000.0, data_centre="at-m1", moved_bytes=MB)
+        group(
+            "b", 3, objective_at=3_000.0, data_centre="at-m1", transfer_bytes=MB
+        )
     )
 
 
 @then("it takes them where 4 more wait that belong nowhere")
 def takes_more(context):
-    context.queue.add(group("c", 4, needed_by=2_900.0, priority=1))
+    context.queue.add(group("c", 4, objective_at=2_900.0, priority=1))
     batch = context.queue.next_batch(["m1", "m2"])
-    assert batch.maker == "m2"
+    assert batch.replica_name == "m2"
     assert len(batch.tasks) == 5
--- a/features/steps/quarantine_evidence_steps.py
+++ b/features/steps/quarantine_evidence_steps.py
@@ -29,7 +29,7 @@
     TOLD_CRASHES,
     CrashSuspects,
 )
-from cactusdyke.serving.measures import ServingMetrics
+from cactusdyke.serving.metrics import ServingMetrics
 from cactusdyke.serving.quarantine import Quarantine
 from cactusdyke.transport.messages import Request
 from features.support.quarantine_fleet import Replicas, Saved, request
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -15,7 +15,7 @@
 from cactusdyke.infrastructure.host_list import HostList, HostState, ListedHost
 from cactusdyke.observe.tracing import Tracing
 from cactusdyke.platform.wire import PlatformDialect
-from cactusdyke.serving.batcher import FETCH_MS, StageBatcher
+from cactusdyke.serving.batcher import FETCH_OVERHEAD_MS, StageBatcher
 from cactusdyke.serving.decider import Decider
 from cactusdyke.serving.deployment import Deployment
 from cactusdyke.serving.dialect import MemoryTold, Piece, PieceFailure
@@ -155,11 +155,11 @@
 
 @when("a decider takes over and the maker tells whole megabytes")
 def takes_over(context):
-    context.queue.ask_first(["m1"], context.clock.ms + 50.0)
+    context.queue.require_reports(["m1"], context.clock.ms + 50.0)
     _add(context, "a", 40)
     context.before = context.queue.next_batch(["m1"])
     context.clock.ms += 5.0
-    context.queue.told_free("m1", context.told)
+    context.queue.apply_report("m1", context.told)
     context.first = context.queue.next_batch(["m1"])
 
 
@@ -177,8 +177,8 @@
 @given("a maker of 2.78 MB that is believed to be full")
 def believed_full(context):
     _maker(context)
-    maker = context.queue._maker("m1")
-    maker.learn_full(context.queue.spec, ROOM, context.clock.ms)
+    maker = context.queue._replica("m1")
+    maker.record_shortage(context.queue.spec, ROOM, context.clock.ms)
     _add(context, "a", 40)
     assert context.queue.next_batch(["m1"]) is None
 
@@ -186,15 +186,15 @@
 @when("the maker tells that 2 MB are free")
 def tells_two(context):
     told = MemoryTold(at_least=2 * MB, at_most=3 * MB)
-    context.queue.told_free("m1", told)
+    context.queue.apply_report("m1", told)
 
 
 @then("calls are filled again but for what may be unknown")
 def filled_again(context):
     batch = context.queue.next_batch(["m1"])
     assert len(batch.tasks) == 20
-    maker = context.queue._maker("m1")
-    assert 0 < maker.unknown_bytes <= ROOM - 2 * MB
+    maker = context.queue._replica("m1")
+    assert 0 < maker.unaccounted_bytes <= ROOM - 2 * MB
 
 
 @given("a maker of 2.78 MB that is full of results known here")
@@ -206,15 +206,15 @@
         batch = context.queue.next_batch(["m1"])
         results = made(batch, 100 * call)
         context.clock.ms += 300.0
-        context.queue.ended(batch, results)
+        context.queue.call_ended(batch, results)
         context.handles += [result.handle for result in results]
 
 
 @when("they are freed and the maker still tells that nothing is free")
 def freed_since(context):
-    context.queue.freed("m1", context.handles)
+    context.queue.results_freed("m1", context.handles)
     context.clock.ms += 150.0
-    context.queue.told_free("m1", MemoryTold(at_least=0.0, at_most=MB))
+    context.queue.apply_report("m1", MemoryTold(at_least=0.0, at_most=MB))
 
 
 @then("the whole of its memory is used")
@@ -265,9 +265,9 @@
 @given("pieces in a call whose inputs nothing else needs")
 def inputs_of_call(context):
     inputs = StageInputs(service="before", handles=("m/1", "m/2"))
-    context.group = group("a", 4, moved_bytes=MB, last_use_of=(inputs,))
-    context.group.holds_scarce = True
-    context.plenty = group("b", 4, moved_bytes=MB, last_use_of=(inputs,))
+    context.group = group("a", 4, transfer_bytes=MB, last_use_of=(inputs,))
+    context.group.inputs_in_scarce_memory = True
+    context.plenty = group("b", 4, transfer_bytes=MB, last_use_of=(inputs,))
     for task in (*context.group.tasks, *context.plenty.tasks):
         task.piece = Piece(
             request_id="a", stage=1, number=0, inputs=inputs.handles
@@ -277,11 +277,11 @@
 
 def _call_of(tasks):
     return Batch(
-        maker="m1",
+        replica_name="m1",
         tasks=tuple(tasks),
         expected_ms=300.0,
         started_at=0.0,
-        room_bytes=MB,
+        free_bytes=MB,
     )
 
 
@@ -313,7 +313,7 @@
 def freed_early(context):
     assert context.early == []
     assert context.freed == [("before", ("m/1", "m/2"))]
-    assert FETCH_MS <= context.took_ms < 2 * FETCH_MS
+    assert FETCH_OVERHEAD_MS <= context.took_ms < 2 * FETCH_OVERHEAD_MS
     assert context.group.inputs_freed
     assert not context.plenty.inputs_freed
 
@@ -481,7 +481,7 @@
                 tasks.start_soon(make)
             await anyio.sleep(0.01)
             for name, known in decider._groups.items():
-                context.begun[name] = known.group.begun
+                context.begun[name] = known.group.started
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
@@ -500,7 +500,7 @@
     def backlog(self, service):
         now = anyio.current_time() * 1_000
         behind = service == "narrow" and now < self.until
-        return Backlog(hopeful_ms=0.0, all_ms=3_000.0 * behind)
+        return Backlog(feasible_ms=0.0, all_ms=3_000.0 * behind)
 
 
 @given("stages of which the second is 3 seconds behind")
@@ -552,7 +552,11 @@
 
 
 def _late(name, pieces, now, **changes):
-    fields = {"needed_by": now - 1.0, "ends_at": now + 9_000.0, **changes}
+    fields = {
+        "objective_at": now - 1.0,
+        "deadline_at": now + 9_000.0,
+        **changes,
+    }
     return group(name, pieces, now, **fields)
 
 
@@ -560,9 +564,9 @@
 def three_late(context):
     now = context.clock.ms = 1_000.0
     add = context.queue.add
-    add(_late("soon", 2, now, priority=1, ends_at=now + 4_000.0))
+    add(_late("soon", 2, now, priority=1, deadline_at=now + 4_000.0))
     add(_late("long", 2, now, priority=1))
-    add(_late("urgent", 2, now, priority=0, ends_at=now + 3_000.0))
+    add(_late("urgent", 2, now, priority=0, deadline_at=now + 3_000.0))
     context.first = context.queue.next_batch(["m1"])
 
 
@@ -576,8 +580,8 @@
     now = context.clock.ms = 1_000.0
     context.late = _late("late", 2, now)
     context.begun = _late("begun", 6, now, priority=-1)
-    context.hopeful = group("hopeful", 2, now, needed_by=now + 60_000.0)
-    context.hopeful.ends_at = now + 60_000.0
+    context.hopeful = group("hopeful", 2, now, objective_at=now + 60_000.0)
+    context.hopeful.deadline_at = now + 60_000.0
     context.queue.add(context.begun)
     context.first = context.queue.next_batch(["m1"])
     context.queue.add(context.late)
@@ -601,10 +605,12 @@
 @when("late pieces with inputs in scarce memory wait among hopeful ones")
 def late_with_inputs(context):
     now = context.clock.ms = 1_000.0
-    late = {"needed_by": now - 1.0, "ends_at": now + 4_000.0}
+    late = {"objective_at": now - 1.0, "deadline_at": now + 4_000.0}
     context.queue.add(group("plain", 2, now, **late))
-    context.queue.add(group("hopeful", 3, now, needed_by=now + 2_000.0))
-    context.queue.add(group("holds", 2, now, holds_scarce=True, **late))
+    context.queue.add(group("hopeful", 3, now, objective_at=now + 2_000.0))
+    context.queue.add(
+        group("holds", 2, now, inputs_in_scarce_memory=True, **late)
+    )
     context.first = context.queue.next_batch(["m1"])
 
 
@@ -616,7 +622,7 @@
 @then("late pieces without go behind the hopeful")
 def behind(context):
     context.clock.ms += 278.0
-    context.queue.ended(context.first, made(context.first))
+    context.queue.call_ended(context.first, made(context.first))
     assert names(context.queue.next_batch(["m1"])) == ["plain", "plain"]
 
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -510,7 +510,7 @@
 
     def backlog(self, service):
         ms = self._backlogs_ms.get(service, 0.0)
-        return Backlog(hopeful_ms=0.0, all_ms=ms)
+        return Backlog(feasible_ms=0.0, all_ms=ms)
 
     async def make(self, work):
         self.made.append(work.service)
@@ -569,7 +569,7 @@
 
     inputs = ("2.2.2.2:2/a", "1.1.1.1:1/b", "1.1.1.1:1/c")
     context.group = PieceGroup(
-        needed_by=500.0, ends_at=900.0, priority=0, result_bytes=1.0
+        objective_at=500.0, deadline_at=900.0, priority=0, result_bytes=1.0
     )
     piece = Piece(request_id="r", stage=1, number=0, inputs=inputs)
     context.group.tasks = [PieceTask(piece=piece, group=context.group)]
--- a/features/steps/stage_queue_steps.py
+++ b/features/steps/stage_queue_steps.py
@@ -39,8 +39,8 @@
 
 def group(name, pieces, now=0.0, **changes):
     fields = {
-        "needed_by": now + 800.0,
-        "ends_at": now + 4_000.0,
+        "objective_at": now + 800.0,
+        "deadline_at": now + 4_000.0,
         "priority": 0,
         "result_bytes": MB,
     }
@@ -54,7 +54,7 @@
 
 def made(batch, start=0):
     return [
-        PieceResult(handle=f"{batch.maker}/{start + n}")
+        PieceResult(handle=f"{batch.replica_name}/{start + n}")
         for n in range(len(batch.tasks))
     ]
 
@@ -68,7 +68,7 @@
     context.makers = makers
     context.queue = StageQueue(clock=context.clock, spec=batch_spec(**changes))
     for maker in makers:
-        context.queue.stands_in(maker, f"at-{maker}")
+        context.queue.set_data_centre(maker, f"at-{maker}")
 
 
 @given("a stage queue with calls of 5 pieces and one replica")
@@ -108,7 +108,7 @@
     first = context.queue.next_batch(context.makers)
     context.queue.add(group("b", 5, priority=0))
     context.clock.ms += 278.0
-    context.queue.ended(first, made(first))
+    context.queue.call_ended(first, made(first))
     context.batch = context.queue.next_batch(context.makers)
 
 
@@ -119,8 +119,8 @@
 
 @when("a late request and one that can be on time are queued")
 def late_and_not(context):
-    context.queue.add(group("late", 5, needed_by=100.0))
-    context.queue.add(group("good", 5, needed_by=1_500.0))
+    context.queue.add(group("late", 5, objective_at=100.0))
+    context.queue.add(group("good", 5, objective_at=1_500.0))
     context.batch = context.queue.next_batch(context.makers)
 
 
@@ -148,23 +148,23 @@
 
 @when("the last piece of a call finds no room")
 def one_without_room(context):
-    context.queue.add(group("a", 4, ends_at=60_000.0))
+    context.queue.add(group("a", 4, deadline_at=60_000.0))
     first = context.queue.next_batch(context.makers)
     context.clock.ms += 250.0
-    context.queue.ended(first, made(first))
-    context.queue.add(group("b", 5, context.clock.ms, ends_at=60_000.0))
+    context.queue.call_ended(first, made(first))
+    context.queue.add(group("b", 5, context.clock.ms, deadline_at=60_000.0))
     second = context.queue.next_batch(context.makers)
     assert len(second.tasks) == 5
     context.clock.ms += 250.0
     results = made(second, start=4)
     results[-1] = PieceResult(failure=PieceFailure.NO_ROOM)
-    context.queue.ended(second, results)
+    context.queue.call_ended(second, results)
 
 
 @then("the next call takes all that the replica has room for")
 def check_room_again(context):
-    context.queue.freed("m1", [f"m1/{n}" for n in range(8)])
-    context.queue.add(group("c", 5, context.clock.ms, ends_at=60_000.0))
+    context.queue.results_freed("m1", [f"m1/{n}" for n in range(8)])
+    context.queue.add(group("c", 5, context.clock.ms, deadline_at=60_000.0))
     batch = context.queue.next_batch(context.makers)
     assert len(batch.tasks) == 5, len(batch.tasks)
 
@@ -179,24 +179,26 @@
     batch = context.queue.next_batch(context.makers)
     assert len(batch.tasks) == 4
     context.clock.ms += 250.0
-    context.queue.ended(batch, made(batch))
+    context.queue.call_ended(batch, made(batch))
     assert context.queue.next_batch(context.makers) is None
 
 
 @then("once two results are freed a call of 2 pieces follows")
 def check_freed(context):
-    context.queue.freed("m1", ["m1/0", "m1/1"])
+    context.queue.results_freed("m1", ["m1/0", "m1/1"])
     batch = context.queue.next_batch(context.makers)
     assert len(batch.tasks) == 2
 
 
 @when("a call finds no room for its pieces")
 def no_room(context):
-    context.queue.add(group("a", 4, ends_at=60_000.0))
+    context.queue.add(group("a", 4, deadline_at=60_000.0))
     batch = context.queue.next_batch(context.makers)
     assert len(batch.tasks) == 4
     context.clock.ms += 160.0
-    context.queue.ended(batch, [PieceResult(failure=PieceFailure.NO_ROOM)] * 4)
+    context.queue.call_ended(
+        batch, [PieceResult(failure=PieceFailure.NO_ROOM)] * 4
+    )
 
 
 @then("the next call comes later and is smaller")
@@ -205,8 +207,8 @@
     context.clock.ms += 2_100.0
     batch = context.queue.next_batch(context.makers)
     assert 1 <= len(batch.tasks) <= 2, len(batch.tasks)
-    context.queue.ended(batch, made(batch))
-    context.queue.freed("m1", [f"m1/{n}" for n in range(4)])
+    context.queue.call_ended(batch, made(batch))
+    context.queue.results_freed("m1", [f"m1/{n}" for n in range(4)])
 
 
 @then("after the lifetime of results it is full again")
@@ -219,25 +221,25 @@
 
 @when("a call is refused ten times")
 def refused(context):
-    context.queue.add(group("a", 3, ends_at=60_000.0))
+    context.queue.add(group("a", 3, deadline_at=60_000.0))
     for _ in range(10):
         batch = context.queue.next_batch(context.makers)
-        assert context.queue.refused(batch) == []
+        assert context.queue.call_refused(batch) == []
         context.clock.ms += 100.0
 
 
 @then("its pieces still wait")
 def check_refused(context):
-    assert context.queue.waiting == 3
+    assert context.queue.queued_count == 3
 
 
 @when("a call fails four times")
 def fails(context):
-    context.queue.add(group("a", 3, ends_at=60_000.0))
+    context.queue.add(group("a", 3, deadline_at=60_000.0))
     context.settled = []
     for _ in range(4):
         batch = context.queue.next_batch(context.makers)
-        context.settled += context.queue.ended(batch, None)
+        context.settled += context.queue.call_ended(batch, None)
         context.clock.ms += 5_000.0
 
 
@@ -246,12 +248,12 @@
     results = {task.result.failure for task in context.settled}
     assert len(context.settled) == 3
     assert results == {PieceFailure.FAILED}
-    assert context.queue.waiting == 0
+    assert context.queue.queued_count == 0
 
 
 @when("a request waits until its end comes near")
 def waits(context):
-    context.queue.add(group("a", 2, ends_at=1_000.0))
+    context.queue.add(group("a", 2, deadline_at=1_000.0))
     context.clock.ms = 900.0
     context.settled = context.queue.expire()
 
@@ -273,9 +275,9 @@
         ]
         usual = batches[0].expected_ms
         context.clock.ms += 278.0
-        context.queue.ended(batches[1], made(batches[1]))
+        context.queue.call_ended(batches[1], made(batches[1]))
         context.clock.ms += 6 * 278.0 - 278.0
-        context.queue.ended(batches[0], made(batches[0]))
+        context.queue.call_ended(batches[0], made(batches[0]))
         assert usual > 0
 
 
@@ -283,18 +285,18 @@
 def check_slow(context):
     context.queue.add(group("b", 10, now=context.clock.ms))
     first = context.queue.next_batch(context.makers)
-    assert first.maker == "m2", first.maker
+    assert first.replica_name == "m2", first.replica_name
     assert context.queue.next_batch(context.makers) is None
 
 
 @when("pieces whose inputs lie with the busy replica are queued")
 def near(context):
-    context.queue.add(group("a", 5, data_centre="at-m1", moved_bytes=MB))
+    context.queue.add(group("a", 5, data_centre="at-m1", transfer_bytes=MB))
     first = context.queue.next_batch(context.makers)
-    assert first.maker == "m1"
+    assert first.replica_name == "m1"
     context.clock.ms += 150.0
     context.queue.add(
-        group("b", 3, context.clock.ms, data_centre="at-m1", moved_bytes=MB)
+        group("b", 3, context.clock.ms, data_centre="at-m1", transfer_bytes=MB)
     )
 
 
@@ -305,10 +307,10 @@
 
 @then("it helps once more wait than the next call holds")
 def check_near_helps(context):
-    context.queue.add(group("c", 3, data_centre="at-m1", moved_bytes=MB))
+    context.queue.add(group("c", 3, data_centre="at-m1", transfer_bytes=MB))
     batch = context.queue.next_batch(context.makers)
     assert batch is not None
-    assert batch.maker == "m2"
+    assert batch.replica_name == "m2"
 
 
 @when("pieces come twice as fast as calls can hold them")
@@ -316,10 +318,12 @@
     context.told = []
     for number in range(20):
         now = context.clock.ms
-        context.queue.add(group(f"g{number}", 10, now, ends_at=now + 60_000))
+        context.queue.add(
+            group(f"g{number}", 10, now, deadline_at=now + 60_000)
+        )
         batch = context.queue.next_batch(context.makers)
         context.clock.ms += 278.0
-        context.queue.ended(batch, made(batch, number * 10))
+        context.queue.call_ended(batch, made(batch, number * 10))
         context.told.append(context.queue.backlog())
 
 
@@ -327,7 +331,7 @@
 def check_backlog(context):
     last = context.told[-1]
     assert last.all_ms > 4_000, last
-    assert last.hopeful_ms < 1_000, last
+    assert last.feasible_ms < 1_000, last
     assert context.told[2].all_ms < last.all_ms
 
 
@@ -335,9 +339,9 @@
     """Leaves the pieces of a call in the queue, as a naive one might."""
 
     def _start(self, name, tasks):
-        kept = list(self._waiting)
+        kept = list(self._queued)
         batch = super()._start(name, tasks)
-        self._waiting = kept
+        self._queued = kept
         return batch
 
 
@@ -364,8 +368,8 @@
         made_group = group(
             f"g{len(self.groups)}",
             pieces,
-            needed_by=now + slack,
-            ends_at=now + 3 * slack,
+            objective_at=now + slack,
+            deadline_at=now + 3 * slack,
         )
         self.groups.append(made_group)
         self.queue.add(made_group)
@@ -394,13 +398,13 @@
             return
         batch = self.calls.pop(data.draw(st.integers(0, len(self.calls) - 1)))
         if how == "refused":
-            self.take(self.queue.refused(batch))
+            self.take(self.queue.call_refused(batch))
             return
         results = None
         if how == "made":
             self.handles += len(batch.tasks)
             results = made(batch, self.handles)
-        self.take(self.queue.ended(batch, results))
+        self.take(self.queue.call_ended(batch, results))
 
     @rule(data=st.data())
     def cancel(self, data):
@@ -415,7 +419,7 @@
 
     @invariant()
     def nobody_is_lost(self):
-        waiting = {id(task) for task in self.queue._waiting}
+        waiting = {id(task) for task in self.queue._queued}
         calling = {id(t) for batch in self.calls for t in batch.tasks}
         for one in self.groups:
             for task in one.tasks:
@@ -499,7 +503,7 @@
             groups.append(one)
             queue.add(one)
         else:
-            for task in queue.ended(what, made(what, key * 10)):
+            for task in queue.call_ended(what, made(what, key * 10)):
                 ends[id(task.group)] = clock.ms
         queue.expire()
         while (batch := next_call(queue, makers, alone=alone)) is not None:
@@ -508,7 +512,7 @@
             heapq.heappush(happenings, (end, number, batch))
     on_time = sum(
         all(t.result and t.result.handle for t in one.tasks)
-        and ends[id(one)] <= one.needed_by
+        and ends[id(one)] <= one.objective_at
         for one in groups
     )
     return 100.0 * on_time / len(groups)
@@ -518,14 +522,14 @@
     """The next call: shared, or of one request as a naive daemon makes it."""
     if not alone:
         return queue.next_batch(makers)
-    waiting = list(queue._waiting)
+    waiting = list(queue._queued)
     if not waiting:
         return None
     first = waiting[0].group
-    queue._waiting = [t for t in waiting if t.group is first]
+    queue._queued = [t for t in waiting if t.group is first]
     batch = queue.next_batch(makers)
     rest = [t for t in waiting if t.group is not first]
-    queue._waiting = [*queue._waiting, *rest]
+    queue._queued = [*queue._queued, *rest]
     return batch
 
 
--- a/features/steps/stage_retry_steps.py
+++ b/features/steps/stage_retry_steps.py
@@ -15,8 +15,8 @@
 from cactusdyke.platform.wire import PlatformDialect
 from cactusdyke.serving.batcher import StageBatcher
 from cactusdyke.serving.deployment import Deployment
-from cactusdyke.serving.stage_makers import AVOID_FIRST_MS, NO_ROOM_PAUSE_MS
 from cactusdyke.serving.stage_queue import REFUSED_PAUSE_MS
+from cactusdyke.serving.stage_replicas import MIN_BACKOFF_MS, NO_MEMORY_PAUSE_MS
 from cactusdyke.transport.exchange import (
     AnswerHead,
     BackendConnections,
@@ -35,8 +35,8 @@
 IDLE_MS = 5_000.0
 PAUSES_MS = {
     "is refused": REFUSED_PAUSE_MS,
-    "breaks off": AVOID_FIRST_MS,
-    "finds no room": NO_ROOM_PAUSE_MS,
+    "breaks off": MIN_BACKOFF_MS,
+    "finds no room": NO_MEMORY_PAUSE_MS,
     "meets a replica that is replaced": JOINS_AFTER_MS,
 }
 LEAVES = "meets a replica that leaves"
@@ -50,7 +50,7 @@
         self.idle_sleeps = 0
 
     async def sleep(self, duration_ms):
-        self.idle_sleeps += self.queue.waiting == 0
+        self.idle_sleeps += self.queue.queued_count == 0
         await super().sleep(duration_ms)
 
 
@@ -159,7 +159,7 @@
         if way == "meets a replica that is replaced":
             tasks.start_soon(join)
         began = clock.now()
-        pieces = group("a", PIECES, began, ends_at=began + ENDS_AFTER_MS)
+        pieces = group("a", PIECES, began, deadline_at=began + ENDS_AFTER_MS)
         with clock.timeout(ENDS_AFTER_MS):
             answer = await batcher.run(pieces, may_refuse=True)
         took_ms = clock.now() - began
--- a/features/support/quarantine_fleet.py
+++ b/features/support/quarantine_fleet.py
@@ -13,7 +13,7 @@
 
 from cactusdyke.membership.member import Member
 from cactusdyke.serving import state_readers
-from cactusdyke.serving.measures import ServingMetrics
+from cactusdyke.serving.metrics import ServingMetrics
 from cactusdyke.serving.model import Replica, ReplicaState
 from cactusdyke.serving.quarantine import (
     CRASHES_PATH,
