--- a/cactusdyke/serving/stage_queue.py
+++ b/cactusdyke/serving/stage_queue.py
@@ -1,6 +1,7 @@
-"""The order of a stage service's pieces, and what fills its next call.
+"""Orders the pieces of a stage service and composes its calls.
 
-No network here: the queue is told what happened and asked what to send.
+The queue does no I/O: its owner reports events and sends the calls that the
+queue returns.
 """
 
 from __future__ import annotations
@@ -27,42 +28,48 @@
     from cactusdyke.serving.model import BatchSpec
 
 PRIORITY_STEP_MS = 500.0
-"""How much earlier a piece counts as needed for each step of priority."""
+"""Shift of a group's objective in the order for each step of priority."""
 LATE_PRIORITY_STEP_MS = 20_000.0
-"""The same among late ones: longer than callers wait, so rank goes first."""
+"""The same among late groups. It exceeds the time that callers wait, so that
+priority precedes the remaining time."""
 MAX_ATTEMPTS = 4
 FEASIBILITY_MARGIN = 1.2
-"""Calls are seldom quite full."""
+"""Allowance for calls that are not full."""
 REFUSED_PAUSE_MS = 60.0
-"""Another daemon's call is under way there; it takes some 200 ms."""
+"""A replica that refuses a call runs one of another daemon; it takes 200 ms."""
 STARTED_ADVANCE_MS = 10_000.0
-"""Puts a group that was begun before every one that was not."""
+"""Moves every group with a piece in a call ahead of groups without one."""
 LOCAL_SLACK_MS = 100.0
+"""Time that must remain before the objective when a local call ends."""
 MAX_LOCAL_WAIT_MS = 150.0
-"""Half a call. Its inputs take their makers' memory as long as it waits."""
+"""Longest wait for a local replica while the queue is long. It is half a call,
+as the inputs of the piece occupy replica memory meanwhile."""
 RATE_WINDOW_MS = 1_500.0
-"""Some five calls of each replica."""
+"""About five calls of each replica."""
 LARGE_TRANSFER_BYTES = 200_000.0
+"""Size from which the transfer for a piece is worth avoiding."""
 TRANSFER_PENALTY_MS = 120.0
-"""How much later a piece counts as needed at a replica of another data centre
-than that of its inputs, or of the engine that fetches its result."""
+"""Shift of a piece in the order at a replica outside the data centre of its
+inputs, or of the engine that fetches its result."""
 MAX_LATE_WAIT_MS = 2_500.0
-"""A late group that was not begun by then is refused: its caller may come back
-when there is room, and the queue does not grow by what nobody will have."""
+"""Wait after which a late group is refused, unless it was started or its inputs
+occupy scarce memory. Its caller can retry when there is capacity, and the queue
+does not fill with work whose results are never read."""
 DELIVERY_MARGIN_MS = 50.0
-"""A result that comes so shortly before the end of the request is no use."""
+"""A result that arrives this shortly before its deadline cannot be used."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class PieceTask:
-    """A piece that waits for its result.
+    """Progress of one piece in the queue and in calls.
 
     Attributes:
         piece: The piece.
-        group: The request's stage that it belongs to.
-        tries: Calls that it was in.
-        fetched: Whether a call that it is in must have fetched its inputs.
-        result: Its result, once there is one.
+        group: All pieces of the same stage of the same request.
+        attempts: Number of calls that included the piece.
+        inputs_fetched: Whether its current call has had time to fetch its
+            inputs.
+        result: Result or failure, None while it is pending.
     """
 
     piece: Piece
@@ -77,20 +84,23 @@
     """All pieces of one stage of one request.
 
     Attributes:
-        needed_by: Instant by which its results are of full value.
-        ends_at: Instant after which they are of none.
-        priority: The request's rank, 0 first.
-        result_bytes: About how large one result is.
-        data_centre: Where its inputs lie, or its results will be fetched to.
-        moved_bytes: What each piece moves that is made elsewhere.
+        objective_at: Instant until which results have their full value.
+        deadline_at: Instant after which results have no value.
+        priority: Priority of the request; 0 is the most urgent.
+        result_bytes: Approximate size of one result.
+        data_centre: Data centre of the inputs, or of the reader of the
+            results; empty if unknown.
+        transfer_bytes: Bytes to transfer for each piece that is computed in
+            another data centre.
         tasks: The pieces.
-        queued_at: When it was queued.
-        hopeful: Whether it could be on time when it was queued.
-        cancelled: Whether nobody waits for it any more.
-        begun: Whether a piece of it was in a call.
-        last_use_of: Inputs that nothing else needs.
-        inputs_freed: Whether they were freed.
-        holds_scarce: Whether its inputs take memory that others wait for.
+        queued_at: Instant at which it was queued.
+        feasible: Whether it could meet its objective when it was queued.
+        cancelled: Whether its request no longer needs it.
+        started: Whether a call has included one of its pieces.
+        last_use_of: Inputs that no other work needs.
+        inputs_freed: Whether those inputs have been freed early.
+        inputs_in_scarce_memory: Whether its inputs occupy memory that other
+            work needs.
     """
 
     objective_at: Instant
@@ -115,17 +125,18 @@
 
     @property
     def inputs_fetched(self) -> bool:
-        """Whether every piece must have fetched its inputs."""
+        """Whether every piece has had time to fetch its inputs."""
         return all(task.inputs_fetched for task in self.tasks)
 
 
 @attrs.frozen(kw_only=True)
 class Backlog:
-    """How long a group that is queued now would wait, in milliseconds.
+    """Estimated queueing delay of a new group, in milliseconds.
 
     Attributes:
-        hopeful_ms: Behind the groups that can still be on time.
-        all_ms: Behind all groups.
+        feasible_ms: Delay behind the groups that can still meet their
+            objectives.
+        all_ms: Delay behind all groups.
     """
 
     feasible_ms: float = 0.0
@@ -134,16 +145,15 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Batch:
-    """What the next call holds.
+    """The pieces of one call to a replica.
 
     Attributes:
-        maker: The replica's name.
-        tasks: The pieces in it.
-        expected_ms: About how long the call should take.
-        started_at: When it was made up.
-        room_bytes: The room for its results that the maker was believed to
-            have.
-        ended: Whether the call has ended, however it did.
+        replica_name: Name of the replica.
+        tasks: The pieces.
+        expected_ms: Expected duration of the call.
+        started_at: Instant at which the batch was composed.
+        free_bytes: Estimated free memory of the replica at that instant.
+        ended: Whether the call has ended, with success or not.
     """
 
     replica_name: str
@@ -155,7 +165,7 @@
 
 
 class StageQueue:
-    """Pieces that wait for one stage service."""
+    """Queue of the pieces of one stage service."""
 
     def __init__(self, *, clock: Clock, spec: BatchSpec) -> None:
         self._clock = clock
@@ -170,16 +180,16 @@
 
     @property
     def queued_count(self) -> int:
-        """Pieces that are in no call."""
+        """Number of pieces that are queued, and in no call yet."""
         return len(self._queued)
 
     def held_bytes(self, replica_name: str) -> float:
-        """Returns what is known to be held and promised at a replica."""
-        maker = self._replica(replica_name)
-        return maker.held_bytes + maker.reserved_bytes
+        """Returns the bytes of a replica's known and expected results."""
+        replica = self._replica(replica_name)
+        return replica.held_bytes + replica.reserved_bytes
 
     def backlog_ms(self, replica_names: Sequence[str], ahead: int) -> float:
-        """Returns about how long `ahead` pieces keep the replicas busy."""
+        """Estimates how long `ahead` pieces keep the replicas busy."""
         if not replica_names:
             return math.inf
         full_ms = self.spec.call_ms + self.spec.batch * self.spec.piece_ms
@@ -192,24 +202,25 @@
         return busy + calls * full_ms / len(replica_names)
 
     def backlog(self) -> Backlog:
-        """Returns how long a group queued now would wait."""
+        """Estimates the queueing delay of a group that is added now."""
         now = self._clock.now()
-        hopeful = sum(
+        feasible_count = sum(
             not self._sort_key(task.group, now)[0] for task in self._queued
         )
         return Backlog(
-            feasible_ms=self._drain_ms(hopeful),
+            feasible_ms=self._drain_ms(feasible_count),
             all_ms=self._drain_ms(len(self._queued)),
         )
 
     def _drain_ms(self, ahead: int) -> float:
-        """Returns about how long `ahead` pieces take all known replicas.
+        """Estimates how long all usable replicas take for `ahead` pieces.
 
-        By what they have made lately, where pieces waited all the while:
-        short of memory for results they make less than their calls hold.
+        If the queue was never empty during the rate window, the measured
+        throughput counts: replicas without free memory for results compute
+        fewer pieces than their calls can carry.
         """
-        makers = max(1, len(self._usable_names))
-        full_ms = ahead / self.spec.batch * self._full_call_ms() / makers
+        replica_count = max(1, len(self._usable_names))
+        full_ms = ahead / self.spec.batch * self._full_call_ms() / replica_count
         now = self._clock.now()
         while (
             self._recent_results
@@ -218,15 +229,15 @@
             self._recent_results.popleft()
         if now - self._nonempty_since < RATE_WINDOW_MS:
             return full_ms
-        made = sum(count for _, count in self._recent_results)
-        return max(full_ms, ahead * RATE_WINDOW_MS / max(1, made))
+        computed = sum(count for _, count in self._recent_results)
+        return max(full_ms, ahead * RATE_WINDOW_MS / max(1, computed))
 
     def add(self, group: PieceGroup) -> None:
         """Queues a group's pieces.
 
-        Whether it can still be on time is decided now, by what goes before
-        it. Under overload every piece would otherwise be served just as it
-        becomes late: seen as a queue in which all were late, at full load.
+        Feasibility is decided here, by the pieces ahead of the group. Decided
+        later, every piece would be computed just as it becomes late under
+        overload, and all requests would miss their objectives at full load.
         """
         group.queued_at = self._clock.now()
         group.feasible = True
@@ -239,22 +250,22 @@
         self._queued.extend(group.tasks)
 
     def cancel(self, group: PieceGroup) -> None:
-        """Takes back what of a group is in no call."""
+        """Removes the queued pieces of a group."""
         group.cancelled = True
         self._queued = [t for t in self._queued if t.group is not group]
 
     def ahead_of(self, group: PieceGroup) -> int:
-        """Returns how many waiting pieces go before a group's."""
+        """Returns the number of queued pieces that precede a group."""
         now = self._clock.now()
-        own = self._sort_key(group, now)
-        return sum(self._sort_key(t.group, now) < own for t in self._queued)
+        own_key = self._sort_key(group, now)
+        return sum(self._sort_key(t.group, now) < own_key for t in self._queued)
 
     def set_data_centre(self, replica_name: str, data_centre: str) -> None:
-        """Notes where a replica stands."""
+        """Records the data centre of a replica."""
         self._replica(replica_name).data_centre = data_centre
 
     def next_batch(self, replica_names: Sequence[str]) -> Batch | None:
-        """Returns the next call to make, None if there is none for now."""
+        """Returns the next call to make, None if none can be made now."""
         self._drop_cancelled()
         self._usable_names = frozenset(replica_names)
         if not self._queued:
@@ -270,76 +281,78 @@
     def call_ended(
         self, batch: Batch, results: Sequence[PieceResult] | None
     ) -> list[PieceTask]:
-        """Takes the end of a call; returns the pieces that are settled.
+        """Records the end of a call and returns the settled pieces.
 
         Args:
             batch: The call.
-            results: What each piece got, None if the call failed whole.
+            results: One result for each piece, None if the call failed.
         """
-        maker = self._replica(batch.replica_name)
-        maker.record_usage(self._clock.now())
-        maker.end_call(_result_bytes(batch), self._clock.now())
+        replica = self._replica(batch.replica_name)
+        replica.record_usage(self._clock.now())
+        replica.end_call(_result_bytes(batch), self._clock.now())
         if results is None:
-            maker.back_off(self._clock.now())
+            replica.back_off(self._clock.now())
             return self._requeue(batch.tasks)
-        maker.consecutive_failures = 0
-        made = sum(1 for result in results if result.handle)
-        self._recent_results.append((self._clock.now(), made))
-        self._record_slowdown(maker, batch)
+        replica.consecutive_failures = 0
+        computed = sum(1 for result in results if result.handle)
+        self._recent_results.append((self._clock.now(), computed))
+        self._record_slowdown(replica, batch)
         settled: list[PieceTask] = []
-        again: list[PieceTask] = []
+        to_retry: list[PieceTask] = []
         for task, result in zip(batch.tasks, results, strict=True):
             if result.handle:
                 until = self._clock.now() + self.spec.result_lifetime_ms
-                maker.add_result(result.handle, task.group.result_bytes, until)
+                replica.add_result(
+                    result.handle, task.group.result_bytes, until
+                )
             if result.failure in {PieceFailure.FAILED, PieceFailure.NO_ROOM}:
-                again.append(task)
+                to_retry.append(task)
                 continue
             task.result = result
             settled.append(task)
-        self._record_memory(maker, batch, results)
-        return settled + self._requeue(again)
+        self._record_memory(replica, batch, results)
+        return settled + self._requeue(to_retry)
 
     def call_refused(self, batch: Batch) -> list[PieceTask]:
-        """Takes the word of a replica that it did not take a call."""
-        maker = self._replica(batch.replica_name)
-        maker.end_call(_result_bytes(batch), self._clock.now())
-        maker.paused_until = self._clock.now() + REFUSED_PAUSE_MS
+        """Records that a replica refused a call, which counts as no attempt."""
+        replica = self._replica(batch.replica_name)
+        replica.end_call(_result_bytes(batch), self._clock.now())
+        replica.paused_until = self._clock.now() + REFUSED_PAUSE_MS
         for task in batch.tasks:
             task.attempts -= 1
         return self._requeue(batch.tasks)
 
     def require_reports(self, names: Sequence[str], until: Instant) -> None:
-        """Makes no call to replicas until their memory was asked for."""
+        """Holds back calls to replicas until they report, or until `until`."""
         for name in names:
             self._replica(name).report_pending_until = until
 
     def apply_report(self, replica_name: str, report: MemoryTold) -> float:
-        """Takes a replica's word of its memory; returns the unknown share."""
-        maker = self._replica(replica_name)
-        return maker.apply_report(self.spec, report, self._clock.now())
+        """Applies a memory report; returns the unaccounted share of memory."""
+        replica = self._replica(replica_name)
+        return replica.apply_report(self.spec, report, self._clock.now())
 
     def results_freed(self, replica_name: str, handles: Sequence[str]) -> None:
-        """Notes that results were freed."""
-        maker = self._replica(replica_name)
-        maker.record_usage(self._clock.now())
+        """Records that results were freed."""
+        replica = self._replica(replica_name)
+        replica.record_usage(self._clock.now())
         for handle in handles:
-            maker.remove_result(handle)
+            replica.remove_result(handle)
 
     def record_held_result(
         self, replica_name: str, handle: str, size: float, age_ms: float
     ) -> None:
-        """Takes another daemon's word that a replica holds a result."""
-        maker = self._replica(replica_name)
-        if handle not in maker.held_results:
+        """Records a result that another daemon reports at a replica."""
+        replica = self._replica(replica_name)
+        if handle not in replica.held_results:
             until = self._clock.now() + self.spec.result_lifetime_ms - age_ms
-            maker.add_result(handle, size, until)
-            # It ends sooner than what is made here; ends are looked for in
-            # order.
-            maker.held_results.move_to_end(handle, last=False)
+            replica.add_result(handle, size, until)
+            # It expires before the results computed here, and expiry is
+            # checked in the order of this dictionary.
+            replica.held_results.move_to_end(handle, last=False)
 
     def expire(self) -> list[PieceTask]:
-        """Returns pieces whose time has run out while they waited."""
+        """Settles queued pieces that are to be abandoned and returns them."""
         now = self._clock.now()
         late = [t for t in self._queued if self._should_abandon(t.group, now)]
         for task in late:
@@ -353,29 +366,31 @@
         ]
 
     def _should_abandon(self, group: PieceGroup, now: Instant) -> bool:
-        least = self.spec.call_ms + self.spec.piece_ms + DELIVERY_MARGIN_MS
-        if now + least > group.deadline_at:
+        min_ms = self.spec.call_ms + self.spec.piece_ms + DELIVERY_MARGIN_MS
+        if now + min_ms > group.deadline_at:
             return True
-        waits = now - group.queued_at > MAX_LATE_WAIT_MS
-        return waits and self._sort_key(group, now)[0]
+        waited_long = now - group.queued_at > MAX_LATE_WAIT_MS
+        return waited_long and self._sort_key(group, now)[0]
 
     def _sort_key(self, group: PieceGroup, now: Instant) -> tuple[bool, float]:
-        """Returns what is smaller for the group that goes first.
+        """Returns a key that is smaller for groups that precede others.
 
-        Groups that can still be on time come before those that can't: a late
-        answer is worth little, and would make the next ones late as well.
+        Groups that can meet their objectives precede late ones: a late result
+        has little value, and computing it first makes other groups late.
         """
-        # The results of a group that was begun lie in their makers' memory
-        # until the last piece is made. Many groups begun at once would fill it
-        # with what none of them can use yet.
-        # So do the inputs of a group: late groups that waited behind all others
-        # kept half of the memory of the stage before for seconds, until they
-        # expired and were made again, and no request came through on time.
-        holds = group.started or group.inputs_in_scarce_memory
-        if self._is_late(group, now) and not holds:
-            # Of those that are late, whoever has most time left comes through.
-            # By their ends all were served just as their callers gave up, seen
-            # as results of 22 requests a day that came to an engine too late.
+        # The results of a started group occupy replica memory until its last
+        # piece is computed. Many started groups would fill the memory with
+        # incomplete sets of results.
+        # The inputs of a group occupy memory too: late groups queued behind all
+        # others kept half of the previous stage's memory in use for seconds,
+        # until the inputs expired and were computed again, and no request met
+        # its objective.
+        occupies_memory = group.started or group.inputs_in_scarce_memory
+        if self._is_late(group, now) and not occupies_memory:
+            # Among late groups the one with the most time left goes first.
+            # Ordered by deadline, all of them finished just as their callers
+            # gave up: the results of 22 requests a day reached an engine too
+            # late.
             return (
                 True,
                 group.priority * LATE_PRIORITY_STEP_MS - group.deadline_at,
@@ -392,22 +407,22 @@
         )
 
     def _callable_replicas(self, replica_names: Sequence[str]) -> list[str]:
-        """Returns the replicas that may get a call now, the best first."""
+        """Returns the replicas that can take a call now, the best first."""
         now = self._clock.now()
-        known = [(name, self._replica(name)) for name in replica_names]
+        replicas = [(name, self._replica(name)) for name in replica_names]
         ends = {
-            name: max(now, maker.busy_until, maker.paused_until)
-            + self._full_call_ms() * maker.current_slowdown(self._clock.now())
-            for name, maker in known
+            name: max(now, replica.busy_until, replica.paused_until)
+            + self._full_call_ms() * replica.current_slowdown(self._clock.now())
+            for name, replica in replicas
         }
         free = []
-        for name, maker in known:
-            if maker.running_calls >= self.spec.concurrent_calls:
+        for name, replica in replicas:
+            if replica.running_calls >= self.spec.concurrent_calls:
                 continue
-            if now < max(maker.paused_until, maker.report_pending_until):
+            if now < max(replica.paused_until, replica.report_pending_until):
                 continue
-            # A slow replica gets a call only if no other one, busy as it is,
-            # would be done with it sooner.
+            # A slow replica gets a call only if no other replica, including
+            # the busy ones, would finish it sooner.
             others = [end for other, end in ends.items() if other != name]
             if others and ends[name] > min(others) + self._full_call_ms():
                 continue
@@ -421,139 +436,149 @@
         )
 
     def _choose_tasks(self, name: str, free: Sequence[str]) -> list[PieceTask]:
-        maker = self._replica(name)
+        replica = self._replica(name)
         now = self._clock.now()
-        room = maker.free_bytes(self.spec, now)
+        free_bytes = replica.free_bytes(self.spec, now)
 
         def order(task: PieceTask) -> tuple[bool, float]:
             late, until = self._sort_key(task.group, now)
-            crosses = self._needs_large_transfer(task, maker)
-            return late, until + (TRANSFER_PENALTY_MS if crosses else 0.0)
+            needs_transfer = self._needs_large_transfer(task, replica)
+            return late, until + (
+                TRANSFER_PENALTY_MS if needs_transfer else 0.0
+            )
 
-        near = self._count_by_data_centre()
+        queued_by_data_centre = self._count_by_data_centre()
         elsewhere = {self._replica(n).data_centre for n in free if n != name}
-        chosen: list[PieceTask] = []
+        tasks: list[PieceTask] = []
         for task in sorted(self._queued, key=order):
-            if len(chosen) >= self.spec.batch:
+            if len(tasks) >= self.spec.batch:
                 break
-            if self._needs_large_transfer(task, maker) and (
+            if self._needs_large_transfer(task, replica) and (
                 task.group.data_centre in elsewhere
-                or self._is_local_call_in_time(task, near, now)
+                or self._is_local_call_in_time(task, queued_by_data_centre, now)
             ):
                 continue
-            if task.group.result_bytes > room:
+            if task.group.result_bytes > free_bytes:
                 continue
-            room -= task.group.result_bytes
-            chosen.append(task)
-        return chosen
+            free_bytes -= task.group.result_bytes
+            tasks.append(task)
+        return tasks
 
     def _count_by_data_centre(self) -> dict[str, int]:
-        """Returns how many pieces wait for each data centre."""
+        """Returns the number of queued pieces by preferred data centre."""
         return collections.Counter(
             task.group.data_centre for task in self._queued
         )
 
     def _is_local_call_in_time(
-        self, task: PieceTask, near: dict[str, int], now: Instant
+        self,
+        task: PieceTask,
+        queued_by_data_centre: dict[str, int],
+        now: Instant,
     ) -> bool:
-        """Returns whether a piece is on time where it should be made.
+        """Returns whether a local call would meet a piece's objective.
 
-        A free replica elsewhere leaves it alone then, but helps as soon as
-        more wait there than the next call takes.
+        A free replica in another data centre then skips the piece, unless more
+        pieces are queued for the data centre than its next call takes.
         """
         data_centre = task.group.data_centre
-        if near[data_centre] > self.spec.batch:
+        if queued_by_data_centre[data_centre] > self.spec.batch:
             return False
         starts = [
-            max(now, maker.busy_until, maker.paused_until)
-            for name, maker in self._replicas.items()
-            if maker.data_centre == data_centre and name in self._usable_names
+            max(now, replica.busy_until, replica.paused_until)
+            for name, replica in self._replicas.items()
+            if replica.data_centre == data_centre and name in self._usable_names
         ]
-        calm = 2 * len(self._queued) <= self.spec.batch * len(
+        queue_is_short = 2 * len(self._queued) <= self.spec.batch * len(
             self._usable_names
         )
-        wait_ms = self._full_call_ms() if calm else MAX_LOCAL_WAIT_MS
+        wait_ms = self._full_call_ms() if queue_is_short else MAX_LOCAL_WAIT_MS
         if not starts or min(starts) > now + wait_ms:
             return False
         end = min(starts) + self._full_call_ms()
         return end + LOCAL_SLACK_MS <= task.group.objective_at
 
     def _needs_large_transfer(
-        self, task: PieceTask, maker: StageReplica
+        self, task: PieceTask, replica: StageReplica
     ) -> bool:
-        """Returns whether much would be moved between data centres."""
+        """Returns whether a replica needs a large transfer for a piece."""
         return (
             bool(task.group.data_centre)
-            and task.group.data_centre != maker.data_centre
+            and task.group.data_centre != replica.data_centre
             and task.group.transfer_bytes >= LARGE_TRANSFER_BYTES
         )
 
     def _start(self, name: str, tasks: list[PieceTask]) -> Batch:
         taken = set(map(id, tasks))
         self._queued = [t for t in self._queued if id(t) not in taken]
-        maker = self._replica(name)
+        replica = self._replica(name)
         now = self._clock.now()
         expected_ms = (
             self.spec.call_ms + len(tasks) * self.spec.piece_ms
-        ) * maker.current_slowdown(self._clock.now())
-        room_bytes = maker.free_bytes(self.spec, now)
-        maker.running_calls += 1
-        maker.busy_until = now + expected_ms
-        maker.record_usage(now)
-        maker.reserved_bytes += sum(t.group.result_bytes for t in tasks)
+        ) * replica.current_slowdown(self._clock.now())
+        free_bytes = replica.free_bytes(self.spec, now)
+        replica.running_calls += 1
+        replica.busy_until = now + expected_ms
+        replica.record_usage(now)
+        replica.reserved_bytes += sum(t.group.result_bytes for t in tasks)
         for task in tasks:
             task.attempts += 1
             task.group.started = True
             if not task.group.data_centre:
-                # Whoever fetches the results fetches all of them.
-                task.group.data_centre = maker.data_centre
+                # One reader fetches all results of a group, so the remaining
+                # pieces prefer the same data centre.
+                task.group.data_centre = replica.data_centre
         return Batch(
             replica_name=name,
             tasks=tuple(tasks),
             expected_ms=expected_ms,
             started_at=now,
-            free_bytes=room_bytes,
+            free_bytes=free_bytes,
         )
 
     def _requeue(self, tasks: Sequence[PieceTask]) -> list[PieceTask]:
-        """Queues pieces again; returns those that were tried too often."""
-        given_up = []
+        """Queues pieces again; fails and returns those out of attempts."""
+        abandoned = []
         for task in tasks:
             if task.group.cancelled:
                 continue
             if task.attempts >= MAX_ATTEMPTS:
                 task.result = PieceResult(failure=PieceFailure.FAILED)
-                given_up.append(task)
+                abandoned.append(task)
             else:
                 self._queued.append(task)
-        return given_up
+        return abandoned
 
     def _record_memory(
-        self, maker: StageReplica, batch: Batch, results: Sequence[PieceResult]
+        self,
+        replica: StageReplica,
+        batch: Batch,
+        results: Sequence[PieceResult],
     ) -> None:
-        """Takes what a call has shown of its maker's memory.
+        """Corrects the memory estimate of a replica from the end of a call.
 
-        The room was less than what the made results take and one that found
-        none. All of it believed taken after one such piece, as once was done,
-        kept a maker at half its calls for seconds, with pieces waiting.
+        The free memory was less than the computed results and one rejected
+        result take together. No more than that is deducted: treating the whole
+        memory as full after one rejected piece halved the calls of a replica
+        for seconds while pieces were queued.
         """
         sizes = [task.group.result_bytes for task in batch.tasks]
         pairs = list(zip(sizes, results, strict=True))
-        no_room = [s for s, r in pairs if r.failure is PieceFailure.NO_ROOM]
-        if not no_room:
+        rejected = [s for s, r in pairs if r.failure is PieceFailure.NO_ROOM]
+        if not rejected:
             return
-        made = sum(size for size, result in pairs if result.handle)
-        too_much = batch.free_bytes - made - min(no_room)
+        computed = sum(size for size, result in pairs if result.handle)
+        overestimated_bytes = batch.free_bytes - computed - min(rejected)
         now = self._clock.now()
-        maker.record_shortage(self.spec, too_much, now)
-        if not made:
-            maker.pause_for_memory(now)
+        replica.record_shortage(self.spec, overestimated_bytes, now)
+        if not computed:
+            replica.pause_for_memory(now)
 
-    def _record_slowdown(self, maker: StageReplica, batch: Batch) -> None:
+    def _record_slowdown(self, replica: StageReplica, batch: Batch) -> None:
         now = self._clock.now()
-        usual = self.spec.call_ms + len(batch.tasks) * self.spec.piece_ms
-        seen = max(0.5, (now - batch.started_at) / usual)
-        maker.record_slowdown(seen, now)
+        expected_ms = self.spec.call_ms + len(batch.tasks) * self.spec.piece_ms
+        slowdown = max(0.5, (now - batch.started_at) / expected_ms)
+        replica.record_slowdown(slowdown, now)
 
     def _full_call_ms(self) -> float:
         return self.spec.call_ms + self.spec.batch * self.spec.piece_ms
--- a/cactusdyke/serving/stage_replicas.py
+++ b/cactusdyke/serving/stage_replicas.py
@@ -1,4 +1,4 @@
-"""What a stage's queue knows of one replica: its calls, memory and pace."""
+"""Tracks the calls, memory and speed of a stage service's replicas."""
 
 from __future__ import annotations
 
@@ -15,28 +15,36 @@
     from cactusdyke.serving.model import BatchSpec
 
 SLOWDOWN_DECAY_MS = 5_000.0
+"""Time constant with which a measured slowdown decays to none."""
 MIN_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 3_000.0
 NO_MEMORY_PAUSE_MS = 50.0
 REPORT_LAG_MS = 400.0
-"""Replicas' word of their memory was seen some 200 ms old; twice that."""
+"""Twice the age of about 200 ms that memory reports have."""
 
 
 @attrs.define(kw_only=True)
 class StageReplica:
-    """What is known of one replica of a stage service.
+    """Estimated state of one replica of a stage service.
 
     Attributes:
-        calls: Calls under way there.
-        busy_until: When its present call should end.
-        held: Bytes of results there, by handle.
-        promised: Bytes of results that the calls under way will make.
-        unknown_bytes: Bytes taken there that are not in `held`, when learned.
-        unknown_at: When that was learned.
-        unsure_until: Instant before which its memory is being asked for.
-        data_centre: Where it stands.
-        pace: How many times longer its calls take than they should.
-        avoid_until: Instant before which it gets no call.
+        running_calls: Number of calls in progress.
+        busy_until: Instant at which its current call should end.
+        held_results: Size in bytes and expiry of the results in its memory, by
+            handle.
+        held_bytes: Total size of these results.
+        reserved_bytes: Bytes that the results of the calls in progress need.
+        unaccounted_bytes: Bytes in use at `unaccounted_at` that are neither
+            held nor reserved, such as results of other daemons.
+        unaccounted_at: Instant of that estimate.
+        report_pending_until: Instant before which it gets no call, as its
+            memory report is awaited.
+        data_centre: Its data centre.
+        slowdown: Ratio of actual to specified duration of its calls at
+            `slowdown_at`.
+        slowdown_at: Instant of the last measurement.
+        consecutive_failures: Calls that failed since the last success.
+        paused_until: Instant before which it gets no call.
     """
 
     running_calls: int = 0
@@ -59,18 +67,18 @@
     paused_until: Instant = 0.0
 
     def current_slowdown(self, now: Instant) -> float:
-        """Returns how many times longer its calls take; fades towards 1."""
+        """Returns the slowdown, which decays to 1 since its measurement."""
         age = now - self.slowdown_at
         return 1 + (self.slowdown - 1) * math.exp(-age / SLOWDOWN_DECAY_MS)
 
     def record_slowdown(self, measured: float, now: Instant) -> None:
-        """Takes how much longer a call took than it should have."""
-        pace = self.current_slowdown(now)
-        self.slowdown = pace + 0.5 * (measured - pace)
+        """Records the slowdown that was measured over one call."""
+        current = self.current_slowdown(now)
+        self.slowdown = current + 0.5 * (measured - current)
         self.slowdown_at = now
 
     def back_off(self, now: Instant) -> None:
-        """Keeps calls from it, for longer with each failure in a row."""
+        """Pauses calls, for twice as long after each consecutive failure."""
         pause = min(
             MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2**self.consecutive_failures
         )
@@ -78,13 +86,13 @@
         self.paused_until = now + pause
 
     def end_call(self, reserved_bytes: float, now: Instant) -> None:
-        """Notes that a call has ended, however it did."""
+        """Records that a call has ended, with success or not."""
         self.running_calls = max(0, self.running_calls - 1)
         self.reserved_bytes -= reserved_bytes
         self.busy_until = now
 
     def record_usage(self, now: Instant) -> None:
-        """Keeps what was known to be taken lately, before and after changes."""
+        """Adds the memory known to be in use to the recent history."""
         self._usage_history.append((now, self.held_bytes + self.reserved_bytes))
         while self._usage_history[0][0] < now - REPORT_LAG_MS:
             self._usage_history.popleft()
@@ -92,56 +100,57 @@
     def apply_report(
         self, spec: BatchSpec, report: MemoryTold, now: Instant
     ) -> float:
-        """Takes a replica's own word; returns the share that may be unknown.
+        """Applies a memory report; returns the unaccounted share of memory.
 
-        Its word is rounded, and of a few hundred milliseconds ago: results
-        freed since would look like others'. Taken for exact it once starved
-        the queue. So it only bounds what is believed, by the least and the
-        most that was known here in that time.
+        Reports are rounded and a few hundred milliseconds old: results that
+        were freed since would count as results of other daemons, which starves
+        the queue beside an empty memory. So a report only bounds the current
+        estimate, by the least and the most memory known to be in use here
+        during that time.
         """
         self.record_usage(now)
         known = [size for _, size in self._usage_history]
-        least = spec.result_room_bytes - report.at_most - max(known)
-        most = spec.result_room_bytes - report.at_least - min(known)
-        believed = self._current_unaccounted(spec, now)
-        self.unaccounted_bytes = max(0.0, least, min(believed, most))
+        lower = spec.result_room_bytes - report.at_most - max(known)
+        upper = spec.result_room_bytes - report.at_least - min(known)
+        estimate = self._current_unaccounted(spec, now)
+        self.unaccounted_bytes = max(0.0, lower, min(estimate, upper))
         self.unaccounted_at = now
         self.report_pending_until = now
         return self.unaccounted_bytes / max(1.0, spec.result_room_bytes)
 
     def add_result(self, handle: str, size: float, until: Instant) -> None:
-        """Notes a result that takes its memory until it is freed."""
+        """Records a result that occupies memory until freed or expired."""
         self.held_results[handle] = (size, until)
         self.held_bytes += size
 
     def remove_result(self, handle: str) -> None:
-        """Notes that a result was freed."""
+        """Records that a result was freed or has expired."""
         size, _ = self.held_results.pop(handle, (0.0, 0.0))
         self.held_bytes -= size
 
     def free_bytes(self, spec: BatchSpec, now: Instant) -> float:
-        """Returns how many bytes of results it may still take."""
+        """Returns the estimated memory left for results, in bytes."""
         self._drop_expired(now)
-        unknown = self._current_unaccounted(spec, now)
+        unaccounted = self._current_unaccounted(spec, now)
         known = self.held_bytes + self.reserved_bytes
-        return spec.result_room_bytes - known - unknown
+        return spec.result_room_bytes - known - unaccounted
 
     def record_shortage(
         self, spec: BatchSpec, overestimated_bytes: float, now: Instant
     ) -> None:
-        """Takes a replica's word that it has no room left.
+        """Records that a replica had no memory for a result.
 
-        Results that a daemon had made before it died, or that nobody could
-        free, take room until they expire. It shows as calls that take their
-        whole time and bring nothing. One result that was a little larger than
-        told shows alike, but for the others of its call that were made: no
-        more is believed taken than the call has shown.
+        Results of a daemon that has died, or whose release failed, occupy
+        memory until they expire. Calls to the replica then take their full time
+        without results. A single result larger than announced looks alike,
+        except that other results of its call were stored. So no more memory is
+        counted as unaccounted than the call has shown.
 
         Args:
-            spec: What a replica holds.
-            overestimated_bytes: Bytes of the room believed free as the call
-                began that were not.
-            now: This instant.
+            spec: Memory and result lifetime of a replica.
+            overestimated_bytes: Bytes that were counted as free when the call
+                began and were not.
+            now: The current instant.
         """
         taken = self._current_unaccounted(spec, now) + max(
             0.0, overestimated_bytes
@@ -150,7 +159,7 @@
         self.unaccounted_at = now
 
     def pause_for_memory(self, now: Instant) -> None:
-        """Leaves it alone until some of its results may have gone."""
+        """Pauses calls until some of its results may have been freed."""
         self.paused_until = now + NO_MEMORY_PAUSE_MS
 
     def _current_unaccounted(self, spec: BatchSpec, now: Instant) -> float:
