--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -1,4 +1,4 @@
-"""Runs a stage service's calls, filled with the pieces of many requests."""
+"""Runs a stage service's calls, each with the pieces of several requests."""
 
 from __future__ import annotations
 
@@ -29,29 +29,30 @@
     from cactusdyke.transport.exchange import BackendConnections
 
 FreeInputs: TypeAlias = "Callable[[str, Sequence[str]], bool]"
-"""Frees results of a service early, where that is worth it; says whether."""
+"""Frees results of a service if that is useful and safe; returns whether."""
 MAX_ANSWER_BYTES = 1 << 20
 MAX_CALL_SLOWDOWN = 4.0
-"""Times its expected length after which a call counts as lost."""
+"""Multiple of its expected duration after which a call counts as lost."""
 MIN_CALL_TIMEOUT_MS = 900.0
 FREE_TIMEOUT_MS = 500.0
 FREE_INTERVAL_MS = 15.0
+"""Time for which handles are collected, to be freed in one call a replica."""
 MIN_RETRY_AFTER_MS = 200.0
-"""About a call: sooner there is no room for what found none."""
+"""About one call. Capacity is unlikely to be free sooner."""
 MAX_RETRY_AFTER_MS = 5_000.0
-"""Bursts were seen to last so long; by then the backlog is another."""
+"""About the duration of bursts. A longer estimate would outlive its backlog."""
 FIRST_REPORT_MS = 50.0
-"""A replica that does not tell its memory by then is called all the same."""
+"""Wait for the first memory report before a replica is called without one."""
 FETCH_OVERHEAD_MS = 40.0
-"""Connecting and reading the call, with room for a slow moment."""
+"""Time to connect and read the call, with a margin for a slow replica."""
 FETCH_BYTES_PER_MS = 250_000.0
-"""A fifth of the links that replicas have: makers serve several at once."""
+"""A fifth of the bandwidth of replicas, which serve several fetches at once."""
 CHECK_INTERVAL_MS = 50.0
-"""How often waiting pieces are looked at, to be called or given up."""
+"""How often queued pieces are checked, to be sent or abandoned."""
 
 
 class StageBatcher:
-    """The batches of one stage service in this daemon."""
+    """Runs the calls of one stage service in this daemon."""
 
     def __init__(
         self,
@@ -87,9 +88,10 @@
         )
 
     def take_over(self) -> None:
-        """Finds out what lies in the replicas' memory, before the first call.
+        """Requests memory reports of the replicas before the first call.
 
-        Another daemon may have decided until now, and may be gone.
+        The results of a previous decider, which may have died, are unknown
+        here.
         """
         names = self._usable_replicas()
         until = self._clock.now() + FIRST_REPORT_MS
@@ -98,17 +100,23 @@
 
     @property
     def queue(self) -> StageQueue:
-        """The pieces that wait, and what is known of the replicas."""
+        """The queued pieces, and the estimated state of the replicas."""
         return self._queue
 
     def update(self, spec: BatchSpec) -> None:
-        """Takes a new configuration of the service."""
+        """Applies a new configuration of the service."""
         self._queue.spec = spec
 
     async def run(
         self, group: PieceGroup, *, may_refuse: bool
     ) -> Result[StageMade, Failure]:
-        """Makes the results of a group."""
+        """Computes the results of a group.
+
+        Args:
+            group: The pieces.
+            may_refuse: Whether to refuse the group at once if its deadline
+                cannot be met.
+        """
         group.queued_at = self._clock.now()
         if may_refuse:
             refusal = self._refusal(group)
@@ -128,48 +136,48 @@
         return self._outcome(group)
 
     def record_held_results(self, results: Sequence[HeldResult]) -> None:
-        """Takes what another daemon's requests hold at the makers."""
+        """Records results that requests of another daemon hold."""
         for result in results:
             address = self._dialect.maker_of(result.handle)
-            maker = self._deployment.replica_at(address)
-            if maker is not None:
+            replica = self._deployment.replica_at(address)
+            if replica is not None:
                 self._queue.record_held_result(
-                    maker.name, result.handle, result.size, result.age_ms
+                    replica.name, result.handle, result.size, result.age_ms
                 )
 
     def free(self, handles: Sequence[str]) -> None:
-        """Frees results that nobody will use any more."""
+        """Frees results that are no longer needed."""
         if not handles:
             return
         if not self._to_free:
             self._tasks.start_soon(self._send_frees)
         for handle in handles:
-            maker = self._dialect.maker_of(handle)
-            self._to_free.setdefault(maker, []).append(handle)
+            address = self._dialect.maker_of(handle)
+            self._to_free.setdefault(address, []).append(handle)
 
     def _prefer_data_centre_of_inputs(self, group: PieceGroup) -> None:
-        """Has pieces made where most of their inputs lie.
+        """Prefers the data centre that holds most inputs of a group.
 
-        Each piece fetches all results of the stages before. Made in another
-        data centre they were seen to carry 4 GB between them in half a minute,
-        thirty times what the answers take.
+        Each piece fetches all results of the previous stages. Computed in
+        another data centre, pieces transferred 4 GB within half a minute,
+        thirty times the volume of the answers.
         """
         inputs = group.tasks[0].piece.inputs
         if not inputs:
             return
-        places = collections.Counter(
+        data_centres = collections.Counter(
             self._deployment.data_centre_at(self._dialect.maker_of(handle))
             for handle in inputs
         )
-        group.data_centre = places.most_common(1)[0][0]
+        group.data_centre = data_centres.most_common(1)[0][0]
 
     def _refusal(self, group: PieceGroup) -> Failure | None:
-        """Refuses at once what could only be given up later."""
-        makers = self._usable_replicas()
+        """Returns a failure for a group that cannot meet its deadline."""
+        replica_names = self._usable_replicas()
         ahead = self._queue.ahead_of(group) + len(group.tasks)
-        backlog_ms = self._queue.backlog_ms(makers, ahead)
+        backlog_ms = self._queue.backlog_ms(replica_names, ahead)
         left_ms = group.deadline_at - self._clock.now()
-        if makers and backlog_ms + self._queue.spec.call_ms <= left_ms:
+        if replica_names and backlog_ms + self._queue.spec.call_ms <= left_ms:
             return None
         self._log_abandoned(group, "refused at once")
         return Failure(
@@ -207,7 +215,7 @@
         )
 
     def _retry_after_ms(self) -> int:
-        """Returns when there should be room for what is refused now."""
+        """Estimates when there is capacity for a request refused now."""
         backlog_ms = self._queue.backlog().all_ms
         return int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, backlog_ms)))
 
@@ -239,14 +247,14 @@
         return [replica.name for replica in usable]
 
     def _start_calls(self) -> None:
-        """Starts every call that can be made now; ticks for what is left."""
+        """Starts all calls that can be made now; schedules checks for the rest."""
         while True:
             batch = self._queue.next_batch(self._usable_replicas())
             if batch is None:
                 break
             self._tasks.start_soon(self._call, batch)
-        # Nothing tells when a replica's pause is over, when results in its
-        # memory expire, or when another replica joins.
+        # No event signals that a replica's pause is over, that results in its
+        # memory have expired, or that another replica has joined.
         if self._queue.queued_count:
             self._ensure_checks()
 
@@ -265,7 +273,7 @@
                     refused = results is None
                     detail = "the replica refused the call"
                 if scope.cancelled_caught:
-                    detail = f"no answer in {timeout_ms:.0f} ms"
+                    detail = f"no answer within {timeout_ms:.0f} ms"
             except ExchangeError as error:
                 detail = str(error)
         batch.ended = True
@@ -280,13 +288,13 @@
                 detail=detail,
             )
         else:
-            made = sum(1 for result in results if result.handle)
+            computed = sum(1 for result in results if result.handle)
             events.log(
                 events.Event.STAGE_CALL_ENDED,
                 service=self._service,
                 backend_server=batch.replica_name,
                 pieces=len(batch.tasks),
-                made=made,
+                made=computed,
                 failures=[str(r.failure) for r in results if r.failure],
                 took_ms=round(took_ms),
                 expected_ms=round(batch.expected_ms),
@@ -308,21 +316,23 @@
         self._start_calls()
 
     async def _free_when_fetched(self, batch: Batch) -> None:
-        """Frees what a call works on as soon as it must have fetched it.
+        """Frees the inputs of a call once it has had time to fetch them.
 
-        A call fetches its inputs at its begin and works on them for some
-        hundred milliseconds. Kept to its end they take their makers' memory,
-        which is what binds: calls of the stage before were two thirds full
-        with others' pieces waiting.
+        A call fetches its inputs at its start and computes for some hundred
+        milliseconds. Inputs that are kept until its end occupy memory of the
+        previous stage, which limits its throughput: its calls were two thirds
+        full while pieces were queued.
         """
-        moved = sum(
+        transfer_bytes = sum(
             task.group.transfer_bytes
             for task in batch.tasks
             if task.piece.inputs
         )
-        if not moved:
+        if not transfer_bytes:
             return
-        await self._clock.sleep(FETCH_OVERHEAD_MS + moved / FETCH_BYTES_PER_MS)
+        await self._clock.sleep(
+            FETCH_OVERHEAD_MS + transfer_bytes / FETCH_BYTES_PER_MS
+        )
         if batch.ended:
             return
         for task in batch.tasks:
@@ -338,20 +348,22 @@
                 group.inputs_freed = any(freed)
 
     def _transferred_bytes(self, batch: Batch) -> float:
-        """Returns about what a call fetched from other data centres."""
-        maker = self._deployment.replica(batch.replica_name)
-        if maker is None:
+        """Estimates the bytes that a call fetched from other data centres."""
+        replica = self._deployment.replica(batch.replica_name)
+        if replica is None:
             return 0.0
-        crossed = 0.0
+        transferred = 0.0
         for task in batch.tasks:
             inputs = task.piece.inputs
-            far = sum(
+            remote = sum(
                 self._deployment.data_centre_at(self._dialect.maker_of(handle))
-                != maker.data_centre
+                != replica.data_centre
                 for handle in inputs
             )
-            crossed += far * task.group.transfer_bytes / max(1, len(inputs))
-        return crossed
+            transferred += (
+                remote * task.group.transfer_bytes / max(1, len(inputs))
+            )
+        return transferred
 
     async def _exchange(
         self, replica: Replica, batch: Batch
@@ -388,15 +400,15 @@
         self._start_calls()
 
     async def _send_free(self, address: str, handles: list[str]) -> None:
-        maker = next(
+        replica = next(
             (
-                replica
-                for replica in self._deployment.usable(self._service)
-                if replica.address == address
+                usable
+                for usable in self._deployment.usable(self._service)
+                if usable.address == address
             ),
             None,
         )
-        if maker is None:
+        if replica is None:
             return
         call = self._dialect.encode_free(address, handles)
         try:
@@ -407,15 +419,15 @@
                     )
                     await exchange.head()
         except ExchangeError as error:
-            # The results expire by themselves; until then they take room.
+            # The results occupy memory until they expire.
             events.log(
                 events.Event.STAGE_FREE_FAILED,
                 service=self._service,
-                backend_server=maker.name,
+                backend_server=replica.name,
                 detail=str(error),
             )
             return
-        self._queue.results_freed(maker.name, handles)
+        self._queue.results_freed(replica.name, handles)
 
     def _ensure_checks(self) -> None:
         if not self._checking:
--- a/cactusdyke/serving/maker_reports.py
+++ b/cactusdyke/serving/maker_reports.py
@@ -1,11 +1,11 @@
-"""Asks a stage service's replicas how much memory they have left.
+"""Polls the replicas of a stage service for their free memory.
 
-A daemon that takes a service over after others have died knows nothing of the
-results that those had made. They lie there until they expire, and calls for
-pieces that find no room take their time and bring nothing: after a loss of all
-daemons the memory was full of them for four seconds, and then believed full for
-four more. What replicas say of themselves lags, so it is asked for only while
-something is there that is not known here.
+A daemon that takes over a service after others have died has no record of their
+results. These occupy memory until they expire, and calls whose pieces find no
+memory take their full time without results. After a loss of all daemons the
+memory was full for four seconds, and counted as full for four more. Reports lag
+behind, so replicas are polled only while memory is in use that is not accounted
+for here.
 """
 
 from __future__ import annotations
@@ -28,18 +28,20 @@
     from cactusdyke.transport.exchange import BackendConnections
 
 POLL_INTERVAL_MS = 200.0
-"""Reports are a few hundred milliseconds old; oftener they say the same."""
+"""Reports are a few hundred milliseconds old; faster polls repeat them."""
 MOST_QUESTIONS = 30
-"""Six seconds: longer than a forgotten result was seen to lie."""
+"""Polls in a row. They take six seconds, longer than results of dead daemons
+take to expire."""
 POLL_TIMEOUT_MS = 250.0
 MAX_ANSWER_BYTES = 1 << 16
 NEGLIGIBLE_SHARE = 0.03
-"""Of a replica's memory; less that is not known here makes no difference."""
+"""Share of a replica's memory; less unaccounted memory is ignored."""
 MIN_NEGLIGIBLE_REPORTS = 2
+"""Consecutive reports with negligible unaccounted memory that end polling."""
 
 
 class MemoryReports:
-    """Follows replicas' own word for as long as it says something new."""
+    """Polls replicas while they have memory in use that is unaccounted for."""
 
     def __init__(
         self,
@@ -62,7 +64,7 @@
         self._polled: set[str] = set()
 
     def poll(self, names: Iterable[str]) -> None:
-        """Asks replicas until nothing unknown is left in their memory."""
+        """Polls replicas until their unaccounted memory is negligible."""
         for name in names:
             replica = self._deployment.replica(name)
             if replica is not None and name not in self._polled:
@@ -70,25 +72,26 @@
                 self._tasks.start_soon(self._poll, replica)
 
     async def _poll(self, replica: Replica) -> None:
-        calm = 0
+        negligible = 0
         try:
             for _ in range(MOST_QUESTIONS):
-                told = await self._request_report(replica)
-                if told is None:
+                report = await self._request_report(replica)
+                if report is None:
                     return
-                share = self._queue.apply_report(replica.name, told)
+                share = self._queue.apply_report(replica.name, report)
                 self._on_report()
-                calm = calm + 1 if share < NEGLIGIBLE_SHARE else 0
-                if calm >= MIN_NEGLIGIBLE_REPORTS:
+                negligible = negligible + 1 if share < NEGLIGIBLE_SHARE else 0
+                if negligible >= MIN_NEGLIGIBLE_REPORTS:
                     return
                 await self._clock.sleep(POLL_INTERVAL_MS)
         finally:
             self._polled.discard(replica.name)
 
     async def _request_report(self, replica: Replica) -> MemoryTold | None:
-        """Returns the memory that a replica says is free, None if it doesn't.
+        """Returns a replica's memory report, None if it sends none.
 
-        Without its word it is found out by pieces that find no room.
+        Without a report, pieces that the replica rejects for want of memory
+        correct the estimate.
         """
         call = self._dialect.encode_report(replica)
         try:
