--- a/cactusdyke/serving/durations.py
+++ b/cactusdyke/serving/durations.py
@@ -1,4 +1,4 @@
-"""How long requests of each route take, to know which a stop would cut."""
+"""Tracks request durations by route, to predict which a stop would cut."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 DEFAULT_STREAM_MS = 3_000.0
 DEFAULT_ANSWER_MS = 700.0
-"""Assumed of a route of which nothing was answered here yet."""
+"""Defaults for routes without an answered request in this daemon."""
 MAX_SAMPLES = 40
 QUANTILE = 0.95
-"""Of a route's last requests; as many end within the time that is told."""
+"""Share of a route's last requests that end within the returned time."""
 MAX_ROUTES = 200
 
 
 @attrs.frozen(kw_only=True)
 class RequestDuration:
-    """How long one answered request took, in milliseconds.
+    """Durations of one answered request, in milliseconds.
 
     Attributes:
-        took_ms: From its arrival to its end.
-        attempt_ms: From its last attempt's begin to its end.
+        took_ms: Time from its arrival to its end.
+        attempt_ms: Time from the start of its last attempt to its end.
     """
 
     took_ms: float
@@ -35,10 +35,10 @@
 
 
 class RouteDurations:
-    """The times that the last requests of each route took.
+    """Durations of the last requests of each route.
 
-    Streams of one route differ by their length, which no caller knows before
-    (its own estimate is right at the median only), and routes differ more.
+    Streams of one route differ in length, which callers cannot predict (their
+    own estimates are right only at the median), and routes differ even more.
     """
 
     def __init__(self) -> None:
@@ -47,24 +47,26 @@
         ] = collections.OrderedDict()
 
     def record(self, route: Route, duration: RequestDuration) -> None:
-        """Takes how long an answered request took."""
-        last = self._samples.setdefault(
+        """Records the durations of an answered request."""
+        samples = self._samples.setdefault(
             route.name, collections.deque(maxlen=MAX_SAMPLES)
         )
-        last.append(duration)
+        samples.append(duration)
         self._samples.move_to_end(route.name)
         while len(self._samples) > MAX_ROUTES:
             self._samples.popitem(last=False)
 
     def quantile_ms(self, route: Route) -> float:
-        """Returns the time in which nearly all requests of a route end."""
-        last = self._samples.get(route.name, ())
-        return _quantile_ms(route, (duration.took_ms for duration in last))
+        """Returns the time within which nearly all requests of a route end."""
+        samples = self._samples.get(route.name, ())
+        return _quantile_ms(route, (duration.took_ms for duration in samples))
 
     def quantile_attempt_ms(self, route: Route) -> float:
-        """Returns the time in which nearly all attempts of a route end."""
-        last = self._samples.get(route.name, ())
-        return _quantile_ms(route, (duration.attempt_ms for duration in last))
+        """Returns the time within which nearly all attempts of a route end."""
+        samples = self._samples.get(route.name, ())
+        return _quantile_ms(
+            route, (duration.attempt_ms for duration in samples)
+        )
 
 
 def _quantile_ms(route: Route, durations_ms: Iterable[float]) -> float:
--- a/cactusdyke/serving/metrics.py
+++ b/cactusdyke/serving/metrics.py
@@ -1,4 +1,4 @@
-"""What the daemon counts of the requests that it serves."""
+"""Metrics of the requests that the daemon serves."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServingMetrics(Service):
-    """Counters and histograms; labels are names from the configuration."""
+    """Counters and histograms, labelled with names from the configuration."""
 
     def __init__(self, registry: prometheus_client.CollectorRegistry) -> None:
         self._requests = prometheus_client.Counter(
@@ -57,7 +57,7 @@
         self._crashes.labels(service).inc()
 
     def set_quarantined(self, count: int) -> None:
-        """Notes how many requests are quarantined."""
+        """Sets the number of quarantined requests."""
         self._quarantined.set(count)
 
     def request_ended(self, route: str, outcome: str, took_ms: float) -> None:
@@ -67,7 +67,7 @@
             self._seconds.labels(route).observe(took_ms / MS_PER_SECOND)
 
     def observe_stages(self, route: str, took_ms: float) -> None:
-        """Counts the time of a request's stages."""
+        """Records the time that a request's stages took together."""
         self._stage_seconds.labels(route).observe(took_ms / MS_PER_SECOND)
 
     def attempt_failed(self, service: str) -> None:
