--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -247,7 +247,7 @@
         return [replica.name for replica in usable]
 
     def _start_calls(self) -> None:
-        """Starts all calls that can be made now; schedules checks for the rest."""
+        """Starts all calls that can be made now; schedules further checks."""
         while True:
             batch = self._queue.next_batch(self._usable_replicas())
             if batch is None:
