--- a/features/steps/places_steps.py
+++ b/features/steps/places_steps.py
@@ -1,4 +1,4 @@
-"""Steps of where engines and pieces are placed, by what has to be fetched."""
+"""Steps on the placement of engines and pieces near their inputs."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from cactusdyke.serving.placement import EnginePlacer
 from features.steps.serving_steps import ENGINE, HandClock, prompt, replica
-from features.steps.stage_queue_steps import MB, group, made
+from features.steps.stage_queue_steps import MB, computed, group
 
-PLACES = ("north", "middle", "south")
+DATA_CENTRES = ("north", "middle", "south")
 
 
 @given("nine engines in three data centres")
 def nine_engines(context):
     context.engines = [
-        replica(f"e{n}", "engine", slots=64, data_centre=PLACES[n % 3])
+        replica(f"e{n}", "engine", slots=64, data_centre=DATA_CENTRES[n % 3])
         for n in range(9)
     ]
     context.clock = HandClock()
@@ -54,11 +54,13 @@
 
 @then("without inputs they are spread over all three")
 def spread(context):
-    assert min(context.spread[place] for place in PLACES) >= 10, context.spread
+    assert min(context.spread[name] for name in DATA_CENTRES) >= 10, (
+        context.spread
+    )
 
 
-@when("a subject was read in one and 4 MB for it lie in another")
-def read_there(context):
+@when("a subject was prefilled in one and 4 MB for it are in another")
+def prefilled_there(context):
     context.first = context.placer.place(
         "a", prompt(1), context.engines, ENGINE, inputs={"north": 4 * MB}
     )
@@ -70,8 +72,8 @@
     )
 
 
-@then("it is placed where it was read")
-def placed_where_read(context):
+@then("it is placed where it was prefilled")
+def placed_where_prefilled(context):
     assert context.first.data_centre == "north"
     assert context.second.name == context.first.name
 
@@ -82,18 +84,18 @@
     context.first = context.queue.next_batch(["m1", "m2"])
 
 
-@then("its last 2 pieces wait for the replica that made the first 5")
+@then("its last 2 pieces wait for the replica that computed the first 5")
 def last_two(context):
     assert len(context.first.tasks) == 5
     assert context.queue.next_batch(["m1", "m2"]) is None
     context.clock.ms += 278.0
-    context.queue.call_ended(context.first, made(context.first))
+    context.queue.call_ended(context.first, computed(context.first))
     rest = context.queue.next_batch(["m1", "m2"])
     assert rest.replica_name == context.first.replica_name
     assert len(rest.tasks) == 2
 
 
-@when("3 pieces wait whose inputs lie with a replica that is busy for 270 ms")
+@when("3 pieces are queued with inputs at a replica that is busy for 270 ms")
 def busy_for_long(context):
     context.queue.add(group("a", 5, data_centre="at-m1", transfer_bytes=MB))
     assert context.queue.next_batch(["m1", "m2"]).replica_name == "m1"
@@ -104,7 +106,7 @@
     )
 
 
-@then("it takes them where 4 more wait that belong nowhere")
+@then("it takes them once 4 more are queued without a data centre")
 def takes_more(context):
     context.queue.add(group("c", 4, objective_at=2_900.0, priority=1))
     batch = context.queue.next_batch(["m1", "m2"])
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the first seconds after all daemons were lost."""
+"""Steps on the recovery after a loss of all daemons."""
 
 from __future__ import annotations
 
@@ -31,7 +31,13 @@
 from cactusdyke.serving.stages import StageResults, StageRunner
 from features.steps.daemon_steps import _decider_world
 from features.steps.serving_steps import HandClock, KnownBacklogs, route
-from features.steps.stage_queue_steps import MB, _queue, group, made, names
+from features.steps.stage_queue_steps import (
+    MB,
+    computed,
+    group,
+    make_queue,
+    names,
+)
 from features.support import serving_values as values
 from features.support.member_fleet import MemberFleet
 from standins.virtual import run_virtual
@@ -42,7 +48,7 @@
 
 
 class NineHosts(HostList):
-    """The platform's list still names all that there were."""
+    """The platform's list of hosts, which names all nine of them."""
 
     async def read(self):
         return Ok(
@@ -63,13 +69,13 @@
     context.hosts = NineHosts()
 
 
-def _know_all_after(hosts, *, told):
+def _discovery_ms(hosts, *, announced):
     async def run():
         async with MemberFleet(hosts=hosts, seed=5) as fleet:
             fleet.names = list(NINE)
             for name in NINE:
                 fleet.start(name)
-                if told:
+                if announced:
                     fleet.daemons[name].members.announce()
                 await anyio.sleep(0.3 / len(NINE))
             for tenths in range(100):
@@ -82,20 +88,20 @@
     return run_virtual(run)
 
 
-@when("all of them start within 300 ms and say that they serve")
+@when("all of them start within 300 ms and announce that they serve")
 def start_all(context):
-    context.told_ms = _know_all_after(context.hosts, told=True)
-    context.untold_ms = _know_all_after(context.hosts, told=False)
+    context.announced_ms = _discovery_ms(context.hosts, announced=True)
+    context.unannounced_ms = _discovery_ms(context.hosts, announced=False)
 
 
 @then("each knows all of them 100 ms after the last one started")
 def know_all(context):
-    assert context.told_ms <= 100, context.told_ms
+    assert context.announced_ms <= 100, context.announced_ms
 
 
-@then("without a word that they serve they take longer")
+@then("without the announcement they take longer")
 def know_later(context):
-    assert context.untold_ms > context.told_ms, context.untold_ms
+    assert context.unannounced_ms > context.announced_ms, context.unannounced_ms
 
 
 @given("nine daemons that have known one another for a minute")
@@ -105,11 +111,11 @@
 
 @when("one of them is killed and starts again")
 def starts_again(context):
-    def attach(name, fleet, heard):
+    def attach(name, fleet, received):
         fleet.daemons[name].members.attach(
             "front",
             lambda: {"a": name, "filler": "x" * 60},
-            lambda other, value: heard.add(other),
+            lambda other, value: received.add(other),
         )
 
     async def run():
@@ -122,23 +128,23 @@
             await anyio.sleep(60)
             fleet.kill("d-3")
             await anyio.sleep(1)
-            heard = set()
+            received = set()
             fleet.start("d-3")
-            attach("d-3", fleet, heard)
+            attach("d-3", fleet, received)
             fleet.daemons["d-3"].members.announce()
             await anyio.sleep(0.5)
-            return heard
+            return received
 
-    context.heard = run_virtual(run)
+    context.received = run_virtual(run)
 
 
-@then("it has heard of the other eight within half a second")
+@then("it has the state of the other eight within half a second")
 def heard_of_all(context):
-    assert context.heard == set(NINE) - {"d-3"}, context.heard
+    assert context.received == set(NINE) - {"d-3"}, context.received
 
 
-def _maker(context):
-    _queue(context, ["m1"], batch=20, result_room_bytes=ROOM)
+def make_small_queue(context):
+    make_queue(context, ["m1"], batch=20, result_room_bytes=ROOM)
     context.clock.ms = 10_000.0
 
 
@@ -147,77 +153,77 @@
     context.queue.add(group(name, pieces, now, result_bytes=SMALL))
 
 
-@given("a maker of 2.78 MB that others have filled but for 0.7 MB")
+@given("a replica with 2.78 MB that others have filled except for 0.7 MB")
 def filled_by_others(context):
-    _maker(context)
-    context.told = MemoryTold(at_least=0.0, at_most=MB)
+    make_small_queue(context)
+    context.report = MemoryTold(at_least=0.0, at_most=MB)
 
 
-@when("a decider takes over and the maker tells whole megabytes")
-def takes_over(context):
+@when("a decider takes over and the replica reports whole megabytes")
+def decider_takes_over(context):
     context.queue.require_reports(["m1"], context.clock.ms + 50.0)
     _add(context, "a", 40)
     context.before = context.queue.next_batch(["m1"])
     context.clock.ms += 5.0
-    context.queue.apply_report("m1", context.told)
+    context.queue.apply_report("m1", context.report)
     context.first = context.queue.next_batch(["m1"])
 
 
-@then("it makes no call before it was told")
+@then("it makes no call before the report")
 def no_call_before(context):
     assert context.before is None
 
 
-@then("its first call holds no more than what may be free")
+@then("its first call holds no more than may be free")
 def first_call_fits(context):
-    assert len(context.first.tasks) * SMALL <= context.told.at_most
+    assert len(context.first.tasks) * SMALL <= context.report.at_most
     assert len(context.first.tasks) >= 15
 
 
-@given("a maker of 2.78 MB that is believed to be full")
-def believed_full(context):
-    _maker(context)
-    maker = context.queue._replica("m1")
-    maker.record_shortage(context.queue.spec, ROOM, context.clock.ms)
+@given("a replica with 2.78 MB that is estimated to be full")
+def estimated_full(context):
+    make_small_queue(context)
+    replica = context.queue._replica("m1")
+    replica.record_shortage(context.queue.spec, ROOM, context.clock.ms)
     _add(context, "a", 40)
     assert context.queue.next_batch(["m1"]) is None
 
 
-@when("the maker tells that 2 MB are free")
-def tells_two(context):
-    told = MemoryTold(at_least=2 * MB, at_most=3 * MB)
-    context.queue.apply_report("m1", told)
+@when("the replica reports that 2 MB are free")
+def reports_two(context):
+    report = MemoryTold(at_least=2 * MB, at_most=3 * MB)
+    context.queue.apply_report("m1", report)
 
 
-@then("calls are filled again but for what may be unknown")
+@then("calls are full again except for memory that may be in use")
 def filled_again(context):
     batch = context.queue.next_batch(["m1"])
     assert len(batch.tasks) == 20
-    maker = context.queue._replica("m1")
-    assert 0 < maker.unaccounted_bytes <= ROOM - 2 * MB
+    replica = context.queue._replica("m1")
+    assert 0 < replica.unaccounted_bytes <= ROOM - 2 * MB
 
 
-@given("a maker of 2.78 MB that is full of results known here")
-def full_of_own(context):
-    _maker(context)
+@given("a replica with 2.78 MB that is full of known results")
+def full_of_known(context):
+    make_small_queue(context)
     context.handles = []
     for call in range(2):
         _add(context, f"a{call}", 20)
         batch = context.queue.next_batch(["m1"])
-        results = made(batch, 100 * call)
+        results = computed(batch, 100 * call)
         context.clock.ms += 300.0
         context.queue.call_ended(batch, results)
         context.handles += [result.handle for result in results]
 
 
-@when("they are freed and the maker still tells that nothing is free")
+@when("they are freed and the replica still reports no free memory")
 def freed_since(context):
     context.queue.results_freed("m1", context.handles)
     context.clock.ms += 150.0
     context.queue.apply_report("m1", MemoryTold(at_least=0.0, at_most=MB))
 
 
-@then("the whole of its memory is used")
+@then("all of its memory is used")
 def whole_used(context):
     _add(context, "b", 20)
     assert len(context.queue.next_batch(["m1"]).tasks) == 20
@@ -234,16 +240,16 @@
         assert waited == 0.0, waited
 
 
-@when("one comes that waits 5.2 seconds, and one that waits 3")
+@when("one caller waits 5.2 seconds, and another one waits 3")
 def two_callers(context):
     context.new = context.patience.waited_ms(context.route, 5_200.0)
-    context.back = context.patience.waited_ms(context.route, 3_000.0)
+    context.retrying = context.patience.waited_ms(context.route, 3_000.0)
 
 
 @then("the first is new, and the second has been trying for 2.6 seconds")
-def told_apart(context):
+def recognised(context):
     assert context.new == 0.0
-    assert 2_450.0 < context.back < 2_650.0, context.back
+    assert 2_450.0 < context.retrying < 2_650.0, context.retrying
 
 
 @given("a route that keeps callers waiting for 6 seconds at most")
@@ -254,15 +260,15 @@
 
 @when("its first caller waits 4.4 seconds")
 def first_caller(context):
-    context.back = context.patience.waited_ms(context.route, 4_400.0)
+    context.retrying = context.patience.waited_ms(context.route, 4_400.0)
 
 
 @then("it has been trying for 1.2 seconds")
 def known_first(context):
-    assert 1_100.0 < context.back < 1_200.0, context.back
+    assert 1_100.0 < context.retrying < 1_200.0, context.retrying
 
 
-@given("pieces in a call whose inputs nothing else needs")
+@given("pieces in a call whose inputs no other work needs")
 def inputs_of_call(context):
     inputs = StageInputs(service="before", handles=("m/1", "m/2"))
     context.group = group("a", 4, transfer_bytes=MB, last_use_of=(inputs,))
@@ -285,7 +291,7 @@
     )
 
 
-@when("the call has had the time to fetch them")
+@when("the call has had time to fetch them")
 def time_to_fetch(context):
     def free(service, handles):
         context.freed.append((service, tuple(handles)))
@@ -318,8 +324,8 @@
     assert not context.plenty.inputs_freed
 
 
-class Steady:
-    """Deciders that have been the same for a while."""
+class StableDeciders:
+    """A set of deciders that has been stable for a given time."""
 
     def __init__(self, stable_ms):
         self.stable_ms = stable_ms
@@ -330,17 +336,17 @@
     def frees(*, backlog_ms, stable_ms):
         freed = []
         dispatch = Dispatch.__new__(Dispatch)
-        dispatch._deciders = Steady(stable_ms)
+        dispatch._deciders = StableDeciders(stable_ms)
         dispatch.backlog = lambda service: Backlog(all_ms=backlog_ms)
         dispatch.free = lambda service, handles: freed.append(handles)
-        told = dispatch._free_early("before", ["m/1"])
-        assert told == bool(freed)
-        return told
+        reported = dispatch._free_early("before", ["m/1"])
+        assert reported == bool(freed)
+        return reported
 
     context.frees = frees
 
 
-@then("it does with a backlog and daemons that stay")
+@then("it does with a backlog and a stable set of daemons")
 def does(context):
     assert context.frees(backlog_ms=500.0, stable_ms=4_000.0)
 
@@ -350,15 +356,15 @@
     assert not context.frees(backlog_ms=100.0, stable_ms=4_000.0)
 
 
-@then("it does not within 3 seconds of a daemon that came or left")
+@then("it does not within 3 seconds of a daemon that joined or left")
 def not_changing(context):
     assert not context.frees(backlog_ms=500.0, stable_ms=2_900.0)
 
 
 class LosesInputs(KnownBacklogs):
-    """Makes what it is asked for, but for one piece whose inputs are gone."""
+    """Computes all work except for one piece whose inputs are gone."""
 
-    loser = "narrow"
+    losing_service = "narrow"
 
     def __init__(self):
         super().__init__()
@@ -368,7 +374,7 @@
         first = work.service not in self.made
         self.works.append(work)
         made = (await super().make(work)).unwrap()
-        if work.service == self.loser and first:
+        if work.service == self.losing_service and first:
             gone = ("", *made.handles[1:])
             return Ok(StageMade(handles=gone, inputs_freed=True))
         return Ok(made)
@@ -407,8 +413,8 @@
     ).unwrap()
 
 
-@then("its inputs are made again, and the lost piece alone, before others")
-def made_again(context):
+@then("its inputs and only the lost piece are computed again, before others")
+def computed_again(context):
     works = [
         (work.service, [p.number for p in work.pieces], work.again)
         for work in context.dispatch.works
@@ -429,7 +435,7 @@
 @given("stages of which the third loses the inputs of one piece")
 def third_loses(context):
     _runner(context, LosesInputs())
-    context.dispatch.loser = "last"
+    context.dispatch.losing_service = "last"
 
 
 @when("a request runs through all three of them")
@@ -442,8 +448,8 @@
     ).unwrap()
 
 
-@then("all that was freed is made again, and the request has its results")
-def three_again(context):
+@then("all that was freed is computed again, and the request has its results")
+def all_computed_again(context):
     made = [work.service for work in context.dispatch.works]
     assert made == ["wide", "narrow", "last"] * 2, made
     assert context.handles == ["last/0", "last/1"]
@@ -451,8 +457,8 @@
     assert inputs == ("narrow/0",), inputs
 
 
-@given("a decider that is asked for new work and for work made before")
-def asked_twice(context):
+@given("a decider with new work and with repeated work")
+def new_and_repeated(context):
     async def run():
         decider = Decider(
             clock=EventLoopClock(),
@@ -461,7 +467,7 @@
             connections=values.NoConnections(),
             tracing=Tracing(daemon="d1"),
         )
-        context.begun = {}
+        context.started = {}
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(decider.run)
             await anyio.sleep(0.01)
@@ -481,31 +487,31 @@
                 tasks.start_soon(make)
             await anyio.sleep(0.01)
             for name, known in decider._groups.items():
-                context.begun[name] = known.group.started
+                context.started[name] = known.group.started
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
 
 
-@then("the latter counts as begun")
-def counts_as_begun(context):
-    assert context.begun == {"work False": False, "work True": True}
+@then("the latter counts as started")
+def counts_as_started(context):
+    assert context.started == {"work False": False, "work True": True}
 
 
-class BehindUntil(KnownBacklogs):
-    """The second stage is behind until a moment."""
+class BackloggedUntil(KnownBacklogs):
+    """The second stage has a backlog until a given time."""
 
     until = math.inf
 
     def backlog(self, service):
         now = anyio.current_time() * 1_000
-        behind = service == "narrow" and now < self.until
-        return Backlog(feasible_ms=0.0, all_ms=3_000.0 * behind)
+        backlogged = service == "narrow" and now < self.until
+        return Backlog(feasible_ms=0.0, all_ms=3_000.0 * backlogged)
 
 
-@given("stages of which the second is 3 seconds behind")
-def three_behind(context):
-    _runner(context, BehindUntil())
+@given("stages of which the second has a backlog of 3 seconds")
+def backlog_of_three(context):
+    _runner(context, BackloggedUntil())
 
 
 def _run_late(context, *, objective_at=-1.0):
@@ -518,37 +524,37 @@
     return run_virtual(run)
 
 
-@when("a request comes that can't be on time any more")
+@when("a request arrives that can no longer be on time")
 def late_request(context):
     context.refused, context.refused_ms = _run_late(context)
-    context.begun = list(context.dispatch.made)
+    context.started = list(context.dispatch.made)
     context.dispatch.until = 1_000.0
     context.served, context.served_ms = _run_late(context)
     context.dispatch.until = math.inf
-    context.hopeful, context.hopeful_ms = _run_late(
+    context.feasible, context.feasible_ms = _run_late(
         context, objective_at=60_000.0
     )
 
 
-@then("it begins nothing for 2.5 seconds and is told when there will be room")
-def held_back(context):
+@then("it starts nothing for 2.5 seconds and is told when to retry")
+def not_started(context):
     failure = context.refused.unwrap_err()
     assert failure.kind is FailureKind.OVERLOADED
     assert 2_000 <= failure.retry_after_ms <= 4_000, failure
     assert 2_500 <= context.refused_ms < 2_800, context.refused_ms
-    assert context.begun == []
+    assert context.started == []
 
 
-@then("it begins as soon as they have caught up")
-def begins_then(context):
+@then("it starts as soon as the backlog is gone")
+def starts_then(context):
     assert context.served.is_ok()
     assert 1_000 <= context.served_ms < 1_300, context.served_ms
 
 
-@then("one that can be on time begins at once")
-def begins_at_once(context):
-    assert context.hopeful.is_ok()
-    assert context.hopeful_ms < 10, context.hopeful_ms
+@then("one that can be on time starts at once")
+def starts_at_once(context):
+    assert context.feasible.is_ok()
+    assert context.feasible_ms < 10, context.feasible_ms
 
 
 def _late(name, pieces, now, **changes):
@@ -560,7 +566,7 @@
     return group(name, pieces, now, **fields)
 
 
-@when("three late requests wait, two of one rank")
+@when("three late requests are queued, two of one priority")
 def three_late(context):
     now = context.clock.ms = 1_000.0
     add = context.queue.add
@@ -579,20 +585,20 @@
 def waits_long(context):
     now = context.clock.ms = 1_000.0
     context.late = _late("late", 2, now)
-    context.begun = _late("begun", 6, now, priority=-1)
-    context.hopeful = group("hopeful", 2, now, objective_at=now + 60_000.0)
-    context.hopeful.deadline_at = now + 60_000.0
-    context.queue.add(context.begun)
+    context.started = _late("started", 6, now, priority=-1)
+    context.feasible = group("feasible", 2, now, objective_at=now + 60_000.0)
+    context.feasible.deadline_at = now + 60_000.0
+    context.queue.add(context.started)
     context.first = context.queue.next_batch(["m1"])
     context.queue.add(context.late)
-    context.queue.add(context.hopeful)
+    context.queue.add(context.feasible)
     context.clock.ms += 2_400.0
     context.early = context.queue.expire()
     context.clock.ms += 200.0
     context.expired = context.queue.expire()
 
 
-@then("it is settled as late, and what was begun or is hopeful is not")
+@then("it is settled as late, and started or feasible requests are not")
 def settled_late(context):
     assert len(context.first.tasks) == 5
     assert context.early == []
@@ -602,12 +608,12 @@
     )
 
 
-@when("late pieces with inputs in scarce memory wait among hopeful ones")
+@when("late pieces with inputs in scarce memory are queued among feasible ones")
 def late_with_inputs(context):
     now = context.clock.ms = 1_000.0
     late = {"objective_at": now - 1.0, "deadline_at": now + 4_000.0}
     context.queue.add(group("plain", 2, now, **late))
-    context.queue.add(group("hopeful", 3, now, objective_at=now + 2_000.0))
+    context.queue.add(group("feasible", 3, now, objective_at=now + 2_000.0))
     context.queue.add(
         group("holds", 2, now, inputs_in_scarce_memory=True, **late)
     )
@@ -616,13 +622,13 @@
 
 @then("they go into the next call")
 def in_next_call(context):
-    assert sorted(set(names(context.first))) == ["holds", "hopeful"]
+    assert sorted(set(names(context.first))) == ["feasible", "holds"]
 
 
-@then("late pieces without go behind the hopeful")
+@then("late pieces without go behind the feasible ones")
 def behind(context):
     context.clock.ms += 278.0
-    context.queue.call_ended(context.first, made(context.first))
+    context.queue.call_ended(context.first, computed(context.first))
     assert names(context.queue.next_batch(["m1"])) == ["plain", "plain"]
 
 
--- a/features/steps/stage_queue_steps.py
+++ b/features/steps/stage_queue_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the stage queue: its order, its memory, and a state machine."""
+"""Steps on the stage queue: its order, its memory, and a state machine."""
 
 from __future__ import annotations
 
@@ -44,15 +44,17 @@
         "priority": 0,
         "result_bytes": MB,
     }
-    made = PieceGroup(**{**fields, **changes})
-    made.tasks = [
-        PieceTask(piece=Piece(request_id=name, stage=0, number=n), group=made)
+    created = PieceGroup(**{**fields, **changes})
+    created.tasks = [
+        PieceTask(
+            piece=Piece(request_id=name, stage=0, number=n), group=created
+        )
         for n in range(pieces)
     ]
-    return made
+    return created
 
 
-def made(batch, start=0):
+def computed(batch, start=0):
     return [
         PieceResult(handle=f"{batch.replica_name}/{start + n}")
         for n in range(len(batch.tasks))
@@ -63,57 +65,57 @@
     return [task.piece.request_id for task in batch.tasks]
 
 
-def _queue(context, makers, **changes):
+def make_queue(context, replica_names, **changes):
     context.clock = HandClock()
-    context.makers = makers
+    context.replica_names = replica_names
     context.queue = StageQueue(clock=context.clock, spec=batch_spec(**changes))
-    for maker in makers:
-        context.queue.set_data_centre(maker, f"at-{maker}")
+    for replica_name in replica_names:
+        context.queue.set_data_centre(replica_name, f"at-{replica_name}")
 
 
 @given("a stage queue with calls of 5 pieces and one replica")
 def one_replica(context):
-    _queue(context, ["m1"])
+    make_queue(context, ["m1"])
 
 
 @given("a stage queue with calls of 5 pieces and two replicas")
 def two_replicas(context):
-    _queue(context, ["m1", "m2"])
+    make_queue(context, ["m1", "m2"])
 
 
-@given("a stage queue whose replicas hold 4 results")
+@given("a stage queue whose replicas have memory for 4 results")
 def small_memory(context):
-    _queue(context, ["m1"], result_room_bytes=4 * MB)
+    make_queue(context, ["m1"], result_room_bytes=4 * MB)
 
 
 @when("three requests of 2 pieces are queued")
 def three_requests(context):
     for name in "abc":
         context.queue.add(group(name, 2))
-    context.batch = context.queue.next_batch(context.makers)
+    context.batch = context.queue.next_batch(context.replica_names)
 
 
 @then("the first call holds 5 pieces of three requests")
 def check_shared(context):
     assert len(context.batch.tasks) == 5
     assert set(names(context.batch)) == {"a", "b", "c"}
-    assert context.queue.next_batch(context.makers) is None
+    assert context.queue.next_batch(context.replica_names) is None
 
 
 @when(
     "a request of 8 pieces is queued and a more urgent one after its first call"
 )
-def begun(context):
+def started(context):
     context.queue.add(group("a", 8, priority=2))
-    first = context.queue.next_batch(context.makers)
+    first = context.queue.next_batch(context.replica_names)
     context.queue.add(group("b", 5, priority=0))
     context.clock.ms += 278.0
-    context.queue.call_ended(first, made(first))
-    context.batch = context.queue.next_batch(context.makers)
+    context.queue.call_ended(first, computed(first))
+    context.batch = context.queue.next_batch(context.replica_names)
 
 
 @then("the second call finishes the first request")
-def check_begun(context):
+def check_started(context):
     assert names(context.batch)[:3] == ["a", "a", "a"], names(context.batch)
 
 
@@ -121,7 +123,7 @@
 def late_and_not(context):
     context.queue.add(group("late", 5, objective_at=100.0))
     context.queue.add(group("good", 5, objective_at=1_500.0))
-    context.batch = context.queue.next_batch(context.makers)
+    context.batch = context.queue.next_batch(context.replica_names)
 
 
 @then("the one that can be on time goes first")
@@ -133,7 +135,7 @@
 def priorities(context):
     context.queue.add(group("low", 5, priority=2))
     context.queue.add(group("high", 5, priority=0))
-    context.batch = context.queue.next_batch(context.makers)
+    context.batch = context.queue.next_batch(context.replica_names)
 
 
 @then("the first call is all of priority 0")
@@ -141,31 +143,31 @@
     assert set(names(context.batch)) == {"high"}
 
 
-@given("a stage queue whose replicas hold 9 results")
+@given("a stage queue whose replicas have memory for 9 results")
 def larger_memory(context):
-    _queue(context, ["m1"], result_room_bytes=9 * MB)
+    make_queue(context, ["m1"], result_room_bytes=9 * MB)
 
 
-@when("the last piece of a call finds no room")
-def one_without_room(context):
+@when("the last piece of a call finds no memory")
+def one_without_memory(context):
     context.queue.add(group("a", 4, deadline_at=60_000.0))
-    first = context.queue.next_batch(context.makers)
+    first = context.queue.next_batch(context.replica_names)
     context.clock.ms += 250.0
-    context.queue.call_ended(first, made(first))
+    context.queue.call_ended(first, computed(first))
     context.queue.add(group("b", 5, context.clock.ms, deadline_at=60_000.0))
-    second = context.queue.next_batch(context.makers)
+    second = context.queue.next_batch(context.replica_names)
     assert len(second.tasks) == 5
     context.clock.ms += 250.0
-    results = made(second, start=4)
+    results = computed(second, start=4)
     results[-1] = PieceResult(failure=PieceFailure.NO_ROOM)
     context.queue.call_ended(second, results)
 
 
-@then("the next call takes all that the replica has room for")
-def check_room_again(context):
+@then("the next call uses all free memory of the replica")
+def check_memory_again(context):
     context.queue.results_freed("m1", [f"m1/{n}" for n in range(8)])
     context.queue.add(group("c", 5, context.clock.ms, deadline_at=60_000.0))
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert len(batch.tasks) == 5, len(batch.tasks)
 
 
@@ -175,25 +177,25 @@
 
 
 @then("the first call holds 4 pieces and no other follows")
-def check_room(context):
-    batch = context.queue.next_batch(context.makers)
+def check_memory(context):
+    batch = context.queue.next_batch(context.replica_names)
     assert len(batch.tasks) == 4
     context.clock.ms += 250.0
-    context.queue.call_ended(batch, made(batch))
-    assert context.queue.next_batch(context.makers) is None
+    context.queue.call_ended(batch, computed(batch))
+    assert context.queue.next_batch(context.replica_names) is None
 
 
 @then("once two results are freed a call of 2 pieces follows")
 def check_freed(context):
     context.queue.results_freed("m1", ["m1/0", "m1/1"])
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert len(batch.tasks) == 2
 
 
-@when("a call finds no room for its pieces")
-def no_room(context):
+@when("a call finds no memory for its pieces")
+def no_memory(context):
     context.queue.add(group("a", 4, deadline_at=60_000.0))
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert len(batch.tasks) == 4
     context.clock.ms += 160.0
     context.queue.call_ended(
@@ -203,11 +205,11 @@
 
 @then("the next call comes later and is smaller")
 def check_smaller(context):
-    assert context.queue.next_batch(context.makers) is None
+    assert context.queue.next_batch(context.replica_names) is None
     context.clock.ms += 2_100.0
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert 1 <= len(batch.tasks) <= 2, len(batch.tasks)
-    context.queue.call_ended(batch, made(batch))
+    context.queue.call_ended(batch, computed(batch))
     context.queue.results_freed("m1", [f"m1/{n}" for n in range(4)])
 
 
@@ -215,7 +217,7 @@
 def check_full_again(context):
     context.clock.ms += 4_000.0
     context.queue.add(group("b", 4, now=context.clock.ms))
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert len(batch.tasks) == 4, len(batch.tasks)
 
 
@@ -223,12 +225,12 @@
 def refused(context):
     context.queue.add(group("a", 3, deadline_at=60_000.0))
     for _ in range(10):
-        batch = context.queue.next_batch(context.makers)
+        batch = context.queue.next_batch(context.replica_names)
         assert context.queue.call_refused(batch) == []
         context.clock.ms += 100.0
 
 
-@then("its pieces still wait")
+@then("its pieces are still queued")
 def check_refused(context):
     assert context.queue.queued_count == 3
 
@@ -238,7 +240,7 @@
     context.queue.add(group("a", 3, deadline_at=60_000.0))
     context.settled = []
     for _ in range(4):
-        batch = context.queue.next_batch(context.makers)
+        batch = context.queue.next_batch(context.replica_names)
         context.settled += context.queue.call_ended(batch, None)
         context.clock.ms += 5_000.0
 
@@ -251,48 +253,49 @@
     assert context.queue.queued_count == 0
 
 
-@when("a request waits until its end comes near")
-def waits(context):
+@when("a request waits until shortly before its deadline")
+def near_deadline(context):
     context.queue.add(group("a", 2, deadline_at=1_000.0))
     context.clock.ms = 900.0
     context.settled = context.queue.expire()
 
 
 @then("its pieces are settled as late and never sent")
-def check_waits(context):
+def check_near_deadline(context):
     assert [t.result.failure for t in context.settled] == [
         PieceFailure.LATE
     ] * 2
-    assert context.queue.next_batch(context.makers) is None
+    assert context.queue.next_batch(context.replica_names) is None
 
 
-@when("one replica has shown to be 6 times slower")
+@when("one replica was measured to be 6 times slower")
 def slow(context):
     for _ in range(4):
         context.queue.add(group("a", 10, now=context.clock.ms))
         batches = [
-            context.queue.next_batch([maker]) for maker in context.makers
+            context.queue.next_batch([replica_name])
+            for replica_name in context.replica_names
         ]
-        usual = batches[0].expected_ms
+        expected_ms = batches[0].expected_ms
         context.clock.ms += 278.0
-        context.queue.call_ended(batches[1], made(batches[1]))
+        context.queue.call_ended(batches[1], computed(batches[1]))
         context.clock.ms += 6 * 278.0 - 278.0
-        context.queue.call_ended(batches[0], made(batches[0]))
-        assert usual > 0
+        context.queue.call_ended(batches[0], computed(batches[0]))
+        assert expected_ms > 0
 
 
-@then("it gets no call while the other one would be done sooner")
+@then("it gets no call while the other one would finish sooner")
 def check_slow(context):
     context.queue.add(group("b", 10, now=context.clock.ms))
-    first = context.queue.next_batch(context.makers)
+    first = context.queue.next_batch(context.replica_names)
     assert first.replica_name == "m2", first.replica_name
-    assert context.queue.next_batch(context.makers) is None
+    assert context.queue.next_batch(context.replica_names) is None
 
 
-@when("pieces whose inputs lie with the busy replica are queued")
-def near(context):
+@when("pieces whose inputs are at the busy replica are queued")
+def local_inputs(context):
     context.queue.add(group("a", 5, data_centre="at-m1", transfer_bytes=MB))
-    first = context.queue.next_batch(context.makers)
+    first = context.queue.next_batch(context.replica_names)
     assert first.replica_name == "m1"
     context.clock.ms += 150.0
     context.queue.add(
@@ -300,43 +303,43 @@
     )
 
 
-@then("the free replica leaves them alone")
-def check_near(context):
-    assert context.queue.next_batch(context.makers) is None
+@then("the free replica skips them")
+def check_local_inputs(context):
+    assert context.queue.next_batch(context.replica_names) is None
 
 
-@then("it helps once more wait than the next call holds")
-def check_near_helps(context):
+@then("it takes them once more are queued than the next call holds")
+def check_remote_call(context):
     context.queue.add(group("c", 3, data_centre="at-m1", transfer_bytes=MB))
-    batch = context.queue.next_batch(context.makers)
+    batch = context.queue.next_batch(context.replica_names)
     assert batch is not None
     assert batch.replica_name == "m2"
 
 
-@when("pieces come twice as fast as calls can hold them")
+@when("pieces arrive twice as fast as calls can hold them")
 def backlog_grows(context):
-    context.told = []
+    context.backlogs = []
     for number in range(20):
         now = context.clock.ms
         context.queue.add(
             group(f"g{number}", 10, now, deadline_at=now + 60_000)
         )
-        batch = context.queue.next_batch(context.makers)
+        batch = context.queue.next_batch(context.replica_names)
         context.clock.ms += 278.0
-        context.queue.call_ended(batch, made(batch, number * 10))
-        context.told.append(context.queue.backlog())
+        context.queue.call_ended(batch, computed(batch, number * 10))
+        context.backlogs.append(context.queue.backlog())
 
 
-@then("the backlog told grows, and that of hopeful pieces stays bounded")
+@then("the reported backlog grows, and that of feasible pieces is bounded")
 def check_backlog(context):
-    last = context.told[-1]
+    last = context.backlogs[-1]
     assert last.all_ms > 4_000, last
     assert last.feasible_ms < 1_000, last
-    assert context.told[2].all_ms < last.all_ms
+    assert context.backlogs[2].all_ms < last.all_ms
 
 
 class ForgetfulQueue(StageQueue):
-    """Leaves the pieces of a call in the queue, as a naive one might."""
+    """Leaves the pieces of a call in the queue."""
 
     def _start(self, name, tasks):
         kept = list(self._queued)
@@ -346,7 +349,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Drives a queue; the oracle is who is in a call and who is settled."""
+    """Drives a queue; the model is which pieces are in calls or settled."""
 
     kind = StageQueue
 
@@ -356,7 +359,7 @@
         self.queue = self.kind(
             clock=self.clock, spec=batch_spec(result_room_bytes=8 * MB)
         )
-        self.makers = ["m1", "m2", "m3"]
+        self.replica_names = ["m1", "m2", "m3"]
         self.groups = []
         self.calls = []
         self.settled = []
@@ -365,14 +368,14 @@
     @rule(pieces=st.integers(1, 8), slack=st.integers(100, 3_000))
     def add(self, pieces, slack):
         now = self.clock.ms
-        made_group = group(
+        new_group = group(
             f"g{len(self.groups)}",
             pieces,
             objective_at=now + slack,
             deadline_at=now + 3 * slack,
         )
-        self.groups.append(made_group)
-        self.queue.add(made_group)
+        self.groups.append(new_group)
+        self.queue.add(new_group)
 
     @rule(ms=st.integers(1, 2_000))
     def pass_time(self, ms):
@@ -381,7 +384,7 @@
 
     @rule(count=st.integers(1, 3))
     def send(self, count):
-        batch = self.queue.next_batch(self.makers[:count])
+        batch = self.queue.next_batch(self.replica_names[:count])
         if batch is None:
             return
         assert 1 <= len(batch.tasks) <= 5
@@ -392,7 +395,7 @@
                 assert task not in other.tasks, "a piece is in two calls"
         self.calls.append(batch)
 
-    @rule(data=st.data(), how=st.sampled_from(["made", "lost", "refused"]))
+    @rule(data=st.data(), how=st.sampled_from(["computed", "lost", "refused"]))
     def end(self, data, how):
         if not self.calls:
             return
@@ -401,9 +404,9 @@
             self.take(self.queue.call_refused(batch))
             return
         results = None
-        if how == "made":
+        if how == "computed":
             self.handles += len(batch.tasks)
-            results = made(batch, self.handles)
+            results = computed(batch, self.handles)
         self.take(self.queue.call_ended(batch, results))
 
     @rule(data=st.data())
@@ -418,7 +421,7 @@
             self.settled.append(task)
 
     @invariant()
-    def nobody_is_lost(self):
+    def no_piece_is_lost(self):
         waiting = {id(task) for task in self.queue._queued}
         calling = {id(t) for batch in self.calls for t in batch.tasks}
         for one in self.groups:
@@ -427,9 +430,9 @@
                 assert known or task.result or one.cancelled, "a piece is lost"
 
     @invariant()
-    def room_is_kept(self):
-        for maker in self.makers:
-            assert self.queue.held_bytes(maker) <= 8 * MB + 1
+    def memory_is_not_overfilled(self):
+        for replica_name in self.replica_names:
+            assert self.queue.held_bytes(replica_name) <= 8 * MB + 1
 
 
 class ForgetfulMachine(QueueMachine):
@@ -437,10 +440,10 @@
 
 
 def machine_fails(machine, examples):
-    """Returns what a machine finds broken, empty if nothing.
+    """Returns the first violation that a machine finds, empty if none.
 
-    The first broken example is told as it was found: to shorten it takes
-    minutes where an example runs through seconds of many daemons.
+    The failing example is not shrunk. That would take minutes where an example
+    simulates seconds of many daemons.
     """
     try:
         run_state_machine_as_test(
@@ -463,26 +466,26 @@
 
 @when("the queue machine runs 150 examples")
 def run_machine(context):
-    context.broken = machine_fails(QueueMachine, 150)
+    context.violation = machine_fails(QueueMachine, 150)
 
 
-@then("it finds no broken promise")
+@then("it finds no violated invariant")
 def check_machine(context):
-    assert context.broken == "", context.broken
+    assert context.violation == "", context.violation
 
 
-@then("it finds one in a queue that forgets to take sent pieces out")
+@then("it finds one in a queue that does not remove sent pieces")
 def check_naive_machine(context):
     assert machine_fails(ForgetfulMachine, 100) != ""
 
 
-def play(rate, pattern, *, alone):
-    """Returns how many of 100 requests are on time, in virtual time."""
+def simulate(rate, pattern, *, alone):
+    """Returns how many of 100 requests are on time in a simulation."""
     rng = random.Random(11)
     clock = HandClock()
     spec = batch_spec(batch=5)
     queue = StageQueue(clock=clock, spec=spec)
-    makers = ["m1", "m2", "m3"]
+    replica_names = ["m1", "m2", "m3"]
     arrivals = []
     at = 0.0
     while at < 20_000.0:
@@ -493,68 +496,70 @@
             (rng.uniform(5_000, 9_000), rng.choice((1, 2, 3)))
             for _ in range(30)
         ]
-    happenings = [(at, n, pieces) for n, (at, pieces) in enumerate(arrivals)]
-    heapq.heapify(happenings)
-    groups, ends, number = [], {}, len(happenings)
-    while happenings:
-        clock.ms, key, what = heapq.heappop(happenings)
-        if isinstance(what, int):
-            one = group(f"g{key}", what, now=clock.ms, result_bytes=0.0)
+    pending = [(at, n, pieces) for n, (at, pieces) in enumerate(arrivals)]
+    heapq.heapify(pending)
+    groups, end_times, number = [], {}, len(pending)
+    while pending:
+        clock.ms, key, item = heapq.heappop(pending)
+        if isinstance(item, int):
+            one = group(f"g{key}", item, now=clock.ms, result_bytes=0.0)
             groups.append(one)
             queue.add(one)
         else:
-            for task in queue.call_ended(what, made(what, key * 10)):
-                ends[id(task.group)] = clock.ms
+            for task in queue.call_ended(item, computed(item, key * 10)):
+                end_times[id(task.group)] = clock.ms
         queue.expire()
-        while (batch := next_call(queue, makers, alone=alone)) is not None:
+        while (
+            batch := next_call(queue, replica_names, alone=alone)
+        ) is not None:
             number += 1
             end = clock.ms + 150.0 + len(batch.tasks) * 25.6
-            heapq.heappush(happenings, (end, number, batch))
+            heapq.heappush(pending, (end, number, batch))
     on_time = sum(
         all(t.result and t.result.handle for t in one.tasks)
-        and ends[id(one)] <= one.objective_at
+        and end_times[id(one)] <= one.objective_at
         for one in groups
     )
     return 100.0 * on_time / len(groups)
 
 
-def next_call(queue, makers, *, alone):
-    """The next call: shared, or of one request as a naive daemon makes it."""
+def next_call(queue, replica_names, *, alone):
+    """Returns the next call: shared, or with the pieces of one request."""
     if not alone:
-        return queue.next_batch(makers)
+        return queue.next_batch(replica_names)
     waiting = list(queue._queued)
     if not waiting:
         return None
     first = waiting[0].group
     queue._queued = [t for t in waiting if t.group is first]
-    batch = queue.next_batch(makers)
+    batch = queue.next_batch(replica_names)
     rest = [t for t in waiting if t.group is not first]
     queue._queued = [*queue._queued, *rest]
     return batch
 
 
-@when("{rate:d} requests a second come for 20 seconds, {pattern}")
+@when("{rate:d} requests a second arrive for 20 seconds, {pattern}")
 def run_pattern(context, rate, pattern):
-    context.shared = play(rate, pattern, alone=False)
-    context.alone = play(rate, pattern, alone=True)
+    context.shared = simulate(rate, pattern, alone=False)
+    context.alone = simulate(rate, pattern, alone=True)
 
 
-@then("at least {least:d} of 100 are on time with shared calls")
-def check_shared_pattern(context, least):
-    assert context.shared >= least, context.shared
+@then("at least {min_share:d} of 100 are on time with shared calls")
+def check_shared_pattern(context, min_share):
+    assert context.shared >= min_share, context.shared
 
 
-@then("at most {most:d} of 100 with a call for each request")
-def check_alone_pattern(context, most):
-    assert context.alone <= most, context.alone
+@then("at most {max_share:d} of 100 with a call for each request")
+def check_alone_pattern(context, max_share):
+    assert context.alone <= max_share, context.alone
 
 
-@when("the named patterns are played with each policy")
-def play_patterns(context):
+@when("the named patterns are simulated with each policy")
+def simulate_patterns(context):
     context.rows = case_j_stage_policies.run_case(tiny=True)
 
 
-@then("no policy passes what all replicas in full calls can make")
+@then("no policy exceeds the capacity of all replicas in full calls")
 def check_policy_bound(context):
     assert len(context.rows) == len(case_j_stage_policies.PATTERNS)
     for row in context.rows:
@@ -562,7 +567,9 @@
             assert row[policy] <= row["bound"] + 1e-9, row
 
 
-@then("in bursts ours has at least {more:d} of 100 more than any naive one")
+@then(
+    "in bursts the queue has at least {more:d} of 100 more than any naive one"
+)
 def check_bursts(context, more):
     bursts = [row for row in context.rows if row["column"].startswith("burst")]
     assert bursts
--- a/features/steps/stage_retry_steps.py
+++ b/features/steps/stage_retry_steps.py
@@ -1,4 +1,4 @@
-"""Steps of pieces whose call has failed, and of who looks at them again."""
+"""Steps on pieces whose call has failed, and on their next calls."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 PIECES = 2
 CALL_MS = 150.0
-ENDS_AFTER_MS = 3_000.0
+DEADLINE_MS = 3_000.0
 JOINS_AFTER_MS = 300.0
 SOON_MS = 100.0
 IDLE_MS = 5_000.0
 PAUSES_MS = {
     "is refused": REFUSED_PAUSE_MS,
     "breaks off": MIN_BACKOFF_MS,
-    "finds no room": NO_MEMORY_PAUSE_MS,
+    "finds no memory": NO_MEMORY_PAUSE_MS,
     "meets a replica that is replaced": JOINS_AFTER_MS,
 }
 LEAVES = "meets a replica that leaves"
@@ -57,7 +57,7 @@
 class FailingOnce(BackendConnections):
     """Fails the first call for pieces in one way, and answers the others.
 
-    Questions for memory are not answered.
+    Requests for memory reports are answered with status 404.
     """
 
     def __init__(self, *, way):
@@ -84,7 +84,7 @@
             return 503, []
         if self.way == "breaks off":
             raise ExchangeError(f"{address}: it broke off", sent=True)
-        if self.way == "finds no room":
+        if self.way == "finds no memory":
             return 200, [{"reason": "room"}] * len(items)
         return 421, []
 
@@ -116,11 +116,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Story:
-    """How a request fared whose first call failed.
+class Outcome:
+    """Outcome of a request whose first call failed.
 
     Attributes:
-        answer: What the request got, None if it waited until its end.
+        answer: Answer to the request, None if there was none by its deadline.
         again_after_ms: How long after the failure its next call began, None
             if there was none.
         took_ms: How long the request waited.
@@ -133,7 +133,7 @@
     idle_sleeps: int
 
 
-async def _play(way):
+async def _run_request(way):
     clock = WatchedClock()
     connections = FailingOnce(way=way)
     deployment = Deployment(clock=clock)
@@ -159,19 +159,19 @@
         if way == "meets a replica that is replaced":
             tasks.start_soon(join)
         began = clock.now()
-        pieces = group("a", PIECES, began, deadline_at=began + ENDS_AFTER_MS)
-        with clock.timeout(ENDS_AFTER_MS):
+        pieces = group("a", PIECES, began, deadline_at=began + DEADLINE_MS)
+        with clock.timeout(DEADLINE_MS):
             answer = await batcher.run(pieces, may_refuse=True)
         took_ms = clock.now() - began
         await anyio.sleep(IDLE_MS / 1_000)
         tasks.cancel_scope.cancel()
     again_after_ms = None
     if len(connections.began_at) > 1:
-        # Sums of virtual time differ in their last digits.
+        # Rounding hides the floating-point error of virtual time.
         again_after_ms = round(
             connections.began_at[1] - connections.failed_at, 3
         )
-    return Story(
+    return Outcome(
         answer=answer,
         again_after_ms=again_after_ms,
         took_ms=took_ms,
@@ -186,35 +186,37 @@
 
 @when("a request's first call fails, in each way that a call can fail")
 def first_call_fails(context):
-    context.stories = {way: run_virtual(_play, way) for way in context.ways}
+    context.outcomes = {
+        way: run_virtual(_run_request, way) for way in context.ways
+    }
 
 
 @then("its pieces are in a call within 100 ms of when one can be made")
 def check_again(context):
     late = {}
     for way, pause_ms in PAUSES_MS.items():
-        story = context.stories[way]
-        again = story.again_after_ms
+        outcome = context.outcomes[way]
+        again = outcome.again_after_ms
         soon = again is not None and pause_ms <= again <= pause_ms + SOON_MS
-        made = isinstance(story.answer, Ok) and all(
-            story.answer.ok_value.handles
+        made = isinstance(outcome.answer, Ok) and all(
+            outcome.answer.ok_value.handles
         )
         if not (soon and made):
-            late[way] = story
+            late[way] = outcome
     assert not late, late
 
 
-@then("it is refused before its end if no replica comes back")
+@then("it is refused before its deadline if no replica comes back")
 def check_refused(context):
-    story = context.stories[LEAVES]
-    assert story.answer is not None, story
-    failure = story.answer.unwrap_err()
+    outcome = context.outcomes[LEAVES]
+    assert outcome.answer is not None, outcome
+    failure = outcome.answer.unwrap_err()
     assert failure.kind is FailureKind.OVERLOADED, failure
     assert failure.retry_after_ms > 0, failure
-    assert story.took_ms < ENDS_AFTER_MS, story
+    assert outcome.took_ms < DEADLINE_MS, outcome
 
 
-@then("the service does not wake while no piece waits")
+@then("the service does not wake while no piece is queued")
 def check_idle(context):
-    sleeps = {way: s.idle_sleeps for way, s in context.stories.items()}
+    sleeps = {way: s.idle_sleeps for way, s in context.outcomes.items()}
     assert set(sleeps.values()) == {0}, sleeps
