--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -402,9 +402,9 @@
     async def _send_free(self, address: str, handles: list[str]) -> None:
         replica = next(
             (
-                usable
-                for usable in self._deployment.usable(self._service)
-                if usable.address == address
+                candidate
+                for candidate in self._deployment.usable(self._service)
+                if candidate.address == address
             ),
             None,
         )
--- a/cactusdyke/serving/maker_reports.py
+++ b/cactusdyke/serving/maker_reports.py
@@ -90,7 +90,7 @@
     async def _request_report(self, replica: Replica) -> MemoryTold | None:
         """Returns a replica's memory report, None if it sends none.
 
-        Without a report, pieces that the replica rejects for want of memory
+        Without a report, pieces that the replica rejects for lack of memory
         correct the estimate.
         """
         call = self._dialect.encode_report(replica)
--- a/cactusdyke/serving/stage_queue.py
+++ b/cactusdyke/serving/stage_queue.py
@@ -441,9 +441,9 @@
         free_bytes = replica.free_bytes(self.spec, now)
 
         def order(task: PieceTask) -> tuple[bool, float]:
-            late, until = self._sort_key(task.group, now)
+            late, rank_ms = self._sort_key(task.group, now)
             needs_transfer = self._needs_large_transfer(task, replica)
-            return late, until + (
+            return late, rank_ms + (
                 TRANSFER_PENALTY_MS if needs_transfer else 0.0
             )
 
--- a/features/serving/stage_queue.feature
+++ b/features/serving/stage_queue.feature
@@ -36,7 +36,7 @@
   Scenario: memory in use by unknown results is estimated until they expire
     # A daemon died while its results were in the replicas' memory. Its
     # successor has no record of them, sends full calls, and every piece of them
-    # is rejected for want of memory.
+    # is rejected for lack of memory.
     Given a stage queue whose replicas have memory for 4 results
     When a call finds no memory for its pieces
     Then the next call comes later and is smaller
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -139,7 +139,7 @@
 
 
 @then("it has the state of the other eight within half a second")
-def heard_of_all(context):
+def received_all(context):
     assert context.received == set(NINE) - {"d-3"}, context.received
 
 
@@ -347,17 +347,17 @@
 
 
 @then("it does with a backlog and a stable set of daemons")
-def does(context):
+def frees_with_backlog(context):
     assert context.frees(backlog_ms=500.0, stable_ms=4_000.0)
 
 
 @then("it does not without a backlog")
-def not_calm(context):
+def keeps_without_backlog(context):
     assert not context.frees(backlog_ms=100.0, stable_ms=4_000.0)
 
 
 @then("it does not within 3 seconds of a daemon that joined or left")
-def not_changing(context):
+def keeps_during_changes(context):
     assert not context.frees(backlog_ms=500.0, stable_ms=2_900.0)
 
 
--- a/features/steps/stage_queue_steps.py
+++ b/features/steps/stage_queue_steps.py
@@ -380,7 +380,7 @@
     @rule(ms=st.integers(1, 2_000))
     def pass_time(self, ms):
         self.clock.ms += ms
-        self.take(self.queue.expire())
+        self.record_settled(self.queue.expire())
 
     @rule(count=st.integers(1, 3))
     def send(self, count):
@@ -401,20 +401,20 @@
             return
         batch = self.calls.pop(data.draw(st.integers(0, len(self.calls) - 1)))
         if how == "refused":
-            self.take(self.queue.call_refused(batch))
+            self.record_settled(self.queue.call_refused(batch))
             return
         results = None
         if how == "computed":
             self.handles += len(batch.tasks)
             results = computed(batch, self.handles)
-        self.take(self.queue.call_ended(batch, results))
+        self.record_settled(self.queue.call_ended(batch, results))
 
     @rule(data=st.data())
     def cancel(self, data):
         if self.groups:
             self.queue.cancel(data.draw(st.sampled_from(self.groups)))
 
-    def take(self, tasks):
+    def record_settled(self, tasks):
         for task in tasks:
             assert task.result is not None
             assert all(task is not old for old in self.settled), "settled twice"
