--- a/features/steps/stage_retry_steps.py
+++ b/features/steps/stage_retry_steps.py
@@ -43,7 +43,7 @@
 
 
 class WatchedClock(EventLoopClock):
-    """Counts the sleeps that begin while no piece waits."""
+    """Counts the sleeps that begin while no piece is queued."""
 
     def __init__(self):
         self.queue = None
@@ -83,7 +83,7 @@
         if self.way == "is refused":
             return 503, []
         if self.way == "breaks off":
-            raise ExchangeError(f"{address}: it broke off", sent=True)
+            raise ExchangeError(f"{address}: connection closed", sent=True)
         if self.way == "finds no memory":
             return 200, [{"reason": "room"}] * len(items)
         return 421, []
@@ -123,8 +123,8 @@
         answer: Answer to the request, None if there was none by its deadline.
         again_after_ms: How long after the failure its next call began, None
             if there was none.
-        took_ms: How long the request waited.
-        idle_sleeps: Sleeps of the service that began while no piece waited.
+        took_ms: Time from the arrival of the request to its answer or deadline.
+        idle_sleeps: Sleeps of the service that began with an empty queue.
     """
 
     answer: object
