--- a/cactusdyke/serving/batcher.py
+++ b/cactusdyke/serving/batcher.py
@@ -323,15 +323,15 @@
         previous stage, which limits its throughput: its calls were two thirds
         full while pieces were queued.
         """
-        transfer_bytes = sum(
+        total_bytes = sum(
             task.group.transfer_bytes
             for task in batch.tasks
             if task.piece.inputs
         )
-        if not transfer_bytes:
+        if not total_bytes:
             return
         await self._clock.sleep(
-            FETCH_OVERHEAD_MS + transfer_bytes / FETCH_BYTES_PER_MS
+            FETCH_OVERHEAD_MS + total_bytes / FETCH_BYTES_PER_MS
         )
         if batch.ended:
             return
--- a/features/steps/stage_queue_steps.py
+++ b/features/steps/stage_queue_steps.py
@@ -276,12 +276,12 @@
             context.queue.next_batch([replica_name])
             for replica_name in context.replica_names
         ]
-        expected_ms = batches[0].expected_ms
+        usual_ms = batches[0].expected_ms
         context.clock.ms += 278.0
         context.queue.call_ended(batches[1], computed(batches[1]))
         context.clock.ms += 6 * 278.0 - 278.0
         context.queue.call_ended(batches[0], computed(batches[0]))
-        assert expected_ms > 0
+        assert usual_ms > 0
 
 
 @then("it gets no call while the other one would finish sooner")
