--- a/cactusdyke/serving/attempt.py
+++ b/cactusdyke/serving/attempt.py
@@ -24,7 +24,7 @@
     from cactusdyke.transport.exchange import BackendConnections
     from cactusdyke.transport.front_interface import Reply
 
-MOST_WHOLE_BODY_BYTES = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 """Answers are checked whole before the first byte is passed on."""
 
 
@@ -48,30 +48,30 @@
     body: bytes | None = None
     delivered: bool = False
     sent: bool = True
-    broken: bool = False
+    connection_broken: bool = False
 
     @property
     def inputs_gone(self) -> bool:
         """Whether a stage's result was gone."""
-        return self._is(AnswerKind.INPUTS_GONE)
+        return self._is_kind(AnswerKind.INPUTS_GONE)
 
     @property
-    def ran_to_its_end(self) -> bool:
+    def completed(self) -> bool:
         """Whether the replica has given its whole answer, a failure or not."""
         whole = self.delivered or self.body is not None
-        return whole and self._is(AnswerKind.ANSWER)
+        return whole and self._is_kind(AnswerKind.ANSWER)
 
     @property
     def wrong_replica(self) -> bool:
         """Whether another replica has the address."""
-        return self._is(AnswerKind.WRONG_REPLICA)
+        return self._is_kind(AnswerKind.WRONG_REPLICA)
 
     @property
     def refused(self) -> bool:
         """Whether the replica had no place."""
-        return self._is(AnswerKind.REFUSED)
+        return self._is_kind(AnswerKind.REFUSED)
 
-    def _is(self, kind: AnswerKind) -> bool:
+    def _is_kind(self, kind: AnswerKind) -> bool:
         return self.verdict is not None and self.verdict.kind is kind
 
 
@@ -89,16 +89,16 @@
         on_begin: Called as the head is sent.
     """
 
-    begun: bool = False
-    last: int | None = None
+    head_sent: bool = False
+    last_event_number: int | None = None
     first_event_at: Instant | None = None
     longest_gap_ms: float = 0.0
-    event_at: Instant = 0.0
-    events: int = 0
-    on_begin: Callable[[], None] = lambda: None
+    last_event_at: Instant = 0.0
+    event_count: int = 0
+    on_head: Callable[[], None] = lambda: None
 
 
-class Attempts:
+class AttemptRunner:
     """Makes attempts and judges what came back."""
 
     def __init__(
@@ -112,7 +112,7 @@
         self._connections = connections
         self._dialect = dialect
 
-    async def whole(
+    async def fetch(
         self,
         context: ServingContext,
         replica: Replica,
@@ -121,7 +121,7 @@
         timeout_ms: float,
     ) -> AttemptResult:
         """Makes an attempt and reads its answer whole."""
-        result = _no_answer(timeout_ms)
+        result = _timed_out(timeout_ms)
         exchange: Exchange | None = None
         with self._clock.timeout(timeout_ms):
             try:
@@ -131,7 +131,7 @@
                     await self._send(exchange, context, replica, handles, None)
                     result = await self._read_whole(exchange, context)
             except ExchangeError as error:
-                return _broken(error)
+                return _from_exchange_error(error)
         if exchange is None or not exchange.sent:
             return attrs.evolve(result, sent=False, ran=Ran.NOT_RUN)
         return result
@@ -144,9 +144,9 @@
         state: StreamState,
         *,
         handles: Sequence[str],
-        first_wait_ms: float,
-        gap_wait_ms: float,
-        on_first: Callable[[], None],
+        first_event_timeout_ms: float,
+        gap_timeout_ms: float,
+        on_first_event: Callable[[], None],
     ) -> AttemptResult:
         """Makes an attempt and passes its events on as they come.
 
@@ -156,33 +156,37 @@
             reply: Where events go.
             state: What the caller has got so far; carried on.
             handles: The results that the request needs.
-            first_wait_ms: Longest wait for the first event.
-            gap_wait_ms: Longest wait between two events.
-            on_first: Called with the first event of this attempt.
+            first_event_timeout_ms: Longest wait for the first event.
+            gap_timeout_ms: Longest wait between two events.
+            on_first_event: Called with the first event of this attempt.
         """
-        result = _no_answer(first_wait_ms)
+        result = _timed_out(first_event_timeout_ms)
         sent = False
         try:
-            with self._clock.timeout(first_wait_ms) as wait:
+            with self._clock.timeout(first_event_timeout_ms) as wait:
                 async with self._connections.connect(
                     replica.address
                 ) as exchange:
                     sent = True
                     await self._send(
-                        exchange, context, replica, handles, state.last
+                        exchange,
+                        context,
+                        replica,
+                        handles,
+                        state.last_event_number,
                     )
                     head = await exchange.head()
                     verdict = self._dialect.decode_answer(context, head)
                     if not (verdict.succeeded and verdict.events):
-                        return await self._judge(exchange, verdict)
-                    await self._pass_on(
+                        return await self._classify(exchange, verdict)
+                    await self._forward_events(
                         exchange,
                         verdict,
                         reply,
                         state,
-                        wait=wait,
-                        gap_wait_ms=gap_wait_ms,
-                        on_first=on_first,
+                        timeout_scope=wait,
+                        gap_timeout_ms=gap_timeout_ms,
+                        on_first_event=on_first_event,
                     )
                     result = AttemptResult(
                         ran=Ran.RAN,
@@ -191,7 +195,7 @@
                         delivered=True,
                     )
         except ExchangeError as error:
-            return _broken(error)
+            return _from_exchange_error(error)
         if not sent:
             return attrs.evolve(result, sent=False, ran=Ran.NOT_RUN)
         return result
@@ -217,15 +221,15 @@
         self, exchange: Exchange, context: ServingContext
     ) -> AttemptResult:
         head = await exchange.head()
-        return await self._judge(
+        return await self._classify(
             exchange, self._dialect.decode_answer(context, head)
         )
 
-    async def _judge(
+    async def _classify(
         self, exchange: Exchange, verdict: AnswerVerdict
     ) -> AttemptResult:
         if verdict.kind is AnswerKind.ANSWER:
-            body = await exchange.whole_body(most=MOST_WHOLE_BODY_BYTES)
+            body = await exchange.whole_body(most=MAX_BODY_BYTES)
             return AttemptResult(
                 ran=Ran.RAN,
                 detail=f"the replica answered {verdict.status}",
@@ -240,16 +244,16 @@
             verdict=verdict,
         )
 
-    async def _pass_on(
+    async def _forward_events(
         self,
         exchange: Exchange,
         verdict: AnswerVerdict,
         reply: Reply,
         state: StreamState,
         *,
-        wait: anyio.CancelScope,
-        gap_wait_ms: float,
-        on_first: Callable[[], None],
+        timeout_scope: anyio.CancelScope,
+        gap_timeout_ms: float,
+        on_first_event: Callable[[], None],
     ) -> None:
         reader = self._dialect.event_reader()
         first = True
@@ -260,36 +264,36 @@
                     continue
                 if first:
                     first = False
-                    on_first()
+                    on_first_event()
                 self._check_order(events, state, exchange)
                 now = self._clock.now()
-                wait.deadline = (
-                    anyio.current_time() + gap_wait_ms / MS_PER_SECOND
+                timeout_scope.deadline = (
+                    anyio.current_time() + gap_timeout_ms / MS_PER_SECOND
                 )
                 # A frozen daemon wakes with events to read and the time for
                 # them over. Ended between counting them as passed on and
                 # writing them, the attempt was resumed behind them: seen as a
                 # stream that lacked one. Writes have a time of their own.
                 with anyio.CancelScope(shield=True):
-                    if not state.begun:
-                        state.begun = True
+                    if not state.head_sent:
+                        state.head_sent = True
                         state.first_event_at = now
-                        state.on_begin()
+                        state.on_head()
                         await reply.begin(verdict.status, verdict.headers)
                     else:
                         state.longest_gap_ms = max(
-                            state.longest_gap_ms, now - state.event_at
+                            state.longest_gap_ms, now - state.last_event_at
                         )
-                    state.event_at = now
-                    state.events += len(events)
+                    state.last_event_at = now
+                    state.event_count += len(events)
                     await reply.part(b"".join(event.data for event in events))
         if reader.rest.strip():
             raise ExchangeError(
                 "the stream ended within an event", sent=exchange.sent
             )
         with anyio.CancelScope(shield=True):
-            if not state.begun:
-                state.begun = True
+            if not state.head_sent:
+                state.head_sent = True
                 await reply.begin(verdict.status, verdict.headers)
             await reply.end()
 
@@ -302,25 +306,29 @@
         for event in events:
             if event.number is None:
                 continue
-            expected = None if state.last is None else state.last + 1
+            expected = (
+                None
+                if state.last_event_number is None
+                else state.last_event_number + 1
+            )
             if expected is not None and event.number != expected:
                 raise ExchangeError(
                     f"event {event.number} came in place of {expected}",
                     sent=exchange.sent,
                 )
-            state.last = event.number
+            state.last_event_number = event.number
 
 
-def _no_answer(timeout_ms: float) -> AttemptResult:
+def _timed_out(timeout_ms: float) -> AttemptResult:
     return AttemptResult(
         ran=Ran.UNKNOWN, detail=f"no answer in {timeout_ms:.0f} ms"
     )
 
 
-def _broken(error: ExchangeError) -> AttemptResult:
+def _from_exchange_error(error: ExchangeError) -> AttemptResult:
     return AttemptResult(
         ran=Ran.UNKNOWN if error.sent else Ran.NOT_RUN,
         detail=str(error),
         sent=error.sent,
-        broken=error.sent,
+        connection_broken=error.sent,
     )
--- a/cactusdyke/serving/connection_share.py
+++ b/cactusdyke/serving/connection_share.py
@@ -11,7 +11,7 @@
     from cactusdyke.serving.health import ReplicaHealth
     from cactusdyke.serving.model import Replica
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Of the share; connections that were just closed still count at the replica,
 and so do health checks and calls for stages."""
 
@@ -30,13 +30,13 @@
         *,
         deployment: Deployment,
         health: ReplicaHealth,
-        daemons: Callable[[], int],
+        daemon_count: Callable[[], int],
     ) -> None:
         self._deployment = deployment
         self._health = health
-        self._daemons = daemons
+        self._daemon_count = daemon_count
 
-    def has_room(self, replica: Replica) -> bool:
+    def has_capacity(self, replica: Replica) -> bool:
         """Returns whether one more request may be sent to a replica."""
         configuration = self._deployment.configuration
         spec = (
@@ -46,5 +46,7 @@
         )
         if spec is None:
             return True
-        share = SAFETY * spec.max_connections / max(1, self._daemons())
+        share = (
+            SAFETY_FACTOR * spec.max_connections / max(1, self._daemon_count())
+        )
         return self._health.in_flight(replica.name) < max(1.0, share)
--- a/cactusdyke/serving/core.py
+++ b/cactusdyke/serving/core.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from cactusdyke.serving.attempt import Attempts
+from cactusdyke.serving.attempt import AttemptRunner
 from cactusdyke.serving.connection_share import ConnectionShare
 from cactusdyke.serving.decider import Decider
 from cactusdyke.serving.decider_interface import DeciderInterface
@@ -17,10 +17,10 @@
 )
 from cactusdyke.serving.forwarder import Forwarder
 from cactusdyke.serving.health import ReplicaHealth
-from cactusdyke.serving.next_attempt import NextAttempt
 from cactusdyke.serving.peer_watch import ALIVE_PATH, PeerWatch
 from cactusdyke.serving.quarantine import CRASHES_PATH, Quarantine
 from cactusdyke.serving.retry_budget import RetryBudget
+from cactusdyke.serving.retry_policy import RetryPolicy
 from cactusdyke.serving.stages import StageRunner
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         budget = RetryBudget(
             clock=clock,
             allowance=allowance,
-            daemons=daemons.believed_count,
+            daemon_count=daemons.believed_count,
         )
         self._forwarder = Forwarder(
             clock=clock,
@@ -116,19 +116,19 @@
                 dispatch=self._dispatch,
                 deployment=deployment,
             ),
-            attempts=Attempts(
+            attempts=AttemptRunner(
                 clock=clock, dialect=dialect, connections=connections
             ),
-            next_attempt=NextAttempt(
+            retry_policy=RetryPolicy(
                 rng=rng,
                 data_centre=data_centre,
                 deployment=deployment,
                 health=health,
                 budget=budget,
-                connections=ConnectionShare(
+                connection_share=ConnectionShare(
                     deployment=deployment,
                     health=health,
-                    daemons=daemons.believed_count,
+                    daemon_count=daemons.believed_count,
                 ),
             ),
             health=health,
--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -11,10 +11,10 @@
 from cactusdyke.clock import MS_PER_SECOND
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.kernel import Service
-from cactusdyke.serving import outcomes, routes
+from cactusdyke.serving import request_failures, routes
 from cactusdyke.serving.attempt import AttemptResult, StreamState
 from cactusdyke.serving.durations import RequestDuration, RouteDurations
-from cactusdyke.serving.in_flight import RequestsInFlight
+from cactusdyke.serving.in_flight import InFlightRequests
 from cactusdyke.serving.model import RepeatPolicy
 from cactusdyke.serving.patience import CallerPatience
 from cactusdyke.serving.request import ServingContext
@@ -34,36 +34,36 @@
 
     from cactusdyke.clock import Clock
     from cactusdyke.observe.tracing import Tracing
-    from cactusdyke.serving.attempt import Attempts
+    from cactusdyke.serving.attempt import AttemptRunner
     from cactusdyke.serving.deployment import Deployment
     from cactusdyke.serving.dialect import Dialect
     from cactusdyke.serving.dispatch import Dispatch, Placed
     from cactusdyke.serving.health import ReplicaHealth
     from cactusdyke.serving.measures import ServingMetrics
     from cactusdyke.serving.model import Customer, Replica, Route
-    from cactusdyke.serving.next_attempt import NextAttempt
     from cactusdyke.serving.planned_stop import StopTimes
     from cactusdyke.serving.quarantine import Quarantine
     from cactusdyke.serving.request import ClientRequest
     from cactusdyke.serving.retry_budget import RetryBudget
+    from cactusdyke.serving.retry_policy import RetryPolicy
     from cactusdyke.serving.stages import StageRunner
 
-FIRST_SHARE = 0.95
+FIRST_EVENT_PATIENCE_SHARE = 0.95
 """Of a caller's patience; its clock started before the request was read."""
 TIMEOUT_MARGIN_MS = 40.0
 """The final answer leaves so long before the time that a caller is promised."""
 DEFAULT_PATIENCE_MS = 30_000.0
-REFUSED_PAUSE_MS = 40.0
-FIRST_EVENT_SHARE = 0.5
+REFUSAL_BACKOFF_MS = 40.0
+FIRST_ATTEMPT_SHARE = 0.5
 """Of the time left that a first replica may take where another may follow."""
-FETCH_MS = 60.0
+INPUT_FETCH_OVERHEAD_MS = 60.0
 """Connecting, and an engine's next step, which begins a waiting request."""
-FETCH_BYTES_PER_MS = 250_000.0
+INPUT_FETCH_BYTES_PER_MS = 250_000.0
 """A fifth of the links that replicas have: makers serve several at once."""
-GAP_WAIT_MS = 1_500.0
+GAP_TIMEOUT_MS = 1_500.0
 """Callers abandon a stream after 2 s of silence; another replica has to have
 taken over by then."""
-NO_STREAM_LIMIT_MS = 3_600_000.0
+NO_TIMEOUT_MS = 3_600_000.0
 
 
 class Forwarder(Service, FrontHandler):
@@ -78,8 +78,8 @@
         deployment: Deployment,
         dispatch: Dispatch,
         stages: StageRunner,
-        attempts: Attempts,
-        next_attempt: NextAttempt,
+        attempts: AttemptRunner,
+        retry_policy: RetryPolicy,
         health: ReplicaHealth,
         budget: RetryBudget,
         quarantine: Quarantine,
@@ -94,16 +94,18 @@
         self._dispatch = dispatch
         self._stages = stages
         self._attempts = attempts
-        self._next = next_attempt
+        self._retry_policy = retry_policy
         self._health = health
-        deployment.on_change(lambda: health.forget(deployment.replica_names))
+        deployment.on_change(
+            lambda: health.remove_unknown(deployment.replica_names)
+        )
         self._budget = budget
         self._quarantine = quarantine
         self._stop = stop
         self._metrics = metrics
         self._tracing = tracing
         self._durations = RouteDurations()
-        self._in_flight = RequestsInFlight(
+        self._in_flight = InFlightRequests(
             clock=clock, durations=self._durations, stop=stop
         )
         self._patience = CallerPatience()
@@ -117,7 +119,7 @@
 
     def refusal(self, failure: Failure) -> tuple[int, Headers, bytes]:
         """Returns status, headers and body that refuse what was not read."""
-        failure = outcomes.unread(failure)
+        failure = request_failures.for_unread_request(failure)
         events.log(
             events.Event.REQUEST_FAILED,
             request_id="",
@@ -155,7 +157,7 @@
                 Failure(
                     kind=FailureKind.UNCONFIRMED,
                     detail="this daemon does not know yet what it may serve",
-                    retry_after_ms=outcomes.UNKNOWN_YET_RETRY_AFTER_MS,
+                    retry_after_ms=request_failures.NOT_READY_RETRY_AFTER_MS,
                 )
             )
         route = self._deployment.routes.find(request.host, request.path)
@@ -175,11 +177,11 @@
                     detail="the API key is not known",
                 )
             )
-        if not self._ends_before_stop(route):
-            return Err(outcomes.stopping())
+        if not self._fits_before_stop(route):
+            return Err(request_failures.stopping())
         return Ok(self._context(request, route, customer))
 
-    def _ends_before_stop(self, route: Route) -> bool:
+    def _fits_before_stop(self, route: Route) -> bool:
         """Returns whether a request that comes now is served in time.
 
         What a stop would cut is refused: the caller hears "not run" and has
@@ -209,7 +211,8 @@
             ends_at=ends_at - TIMEOUT_MARGIN_MS,
             first_by=min(
                 ends_at,
-                arrived + FIRST_SHARE * route.first_event_patience_ms,
+                arrived
+                + FIRST_EVENT_PATIENCE_SHARE * route.first_event_patience_ms,
             )
             - TIMEOUT_MARGIN_MS,
             caller_until=arrived + patience_ms,
@@ -218,7 +221,7 @@
         )
 
     async def _serve(self, context: ServingContext, reply: Reply) -> None:
-        state = StreamState(last=context.request.resume_after)
+        state = StreamState(last_event_number=context.request.resume_after)
         results = StageResults(context)
         failure: Failure | None = None
         now = self._clock.now()
@@ -230,13 +233,15 @@
                     more_ms = context.ends_at - context.first_by
                     scope.deadline += more_ms / MS_PER_SECOND
 
-                state.on_begin = begun
+                state.on_head = begun
                 with self._in_flight.track(context, state, scope) as request:
                     failure = await self._run(context, reply, state, results)
             if scope.cancelled_caught and request.stopped:
-                failure = outcomes.with_ran(context, outcomes.stopping())
+                failure = request_failures.for_whole_request(
+                    context, request_failures.stopping()
+                )
             elif scope.cancelled_caught:
-                failure = outcomes.timed_out(context)
+                failure = request_failures.timed_out(context)
             finished = True
         finally:
             self._stages.free(context, results)
@@ -252,7 +257,7 @@
             self._log.answered(context, state)
             return
         self._log.failed(failure, context.request.request_id, context)
-        if state.begun:
+        if state.head_sent:
             raise BrokenOffError
         await self._fail(failure, context.request.request_id, reply)
 
@@ -260,9 +265,9 @@
         self, context: ServingContext, state: StreamState
     ) -> None:
         if self._clock.now() >= self._stop().ends_at:
-            self._log.cut(context, state)
+            self._log.cut_by_stop(context, state)
         else:
-            self._log.left(context, state)
+            self._log.caller_left(context, state)
 
     async def _run(
         self,
@@ -272,12 +277,14 @@
         results: StageResults,
     ) -> Failure | None:
         """Runs stages and attempts; returns why there is no answer."""
-        self._budget.note_first(context.service)
+        self._budget.record_request(context.service)
         last: AttemptResult | None = None
         while True:
-            handles = await self._make_inputs(context, results)
+            handles = await self._run_stages(context, results)
             if isinstance(handles, Err):
-                return outcomes.with_ran(context, handles.err_value)
+                return request_failures.for_whole_request(
+                    context, handles.err_value
+                )
             failure, result = await self._attempt(
                 context, reply, state, results, handles.ok_value
             )
@@ -289,15 +296,15 @@
                 last = result
             if result.inputs_gone:
                 self._stages.free(context, results)
-            if not self._next.allowed(context, result):
+            if not self._retry_policy.may_retry(context, result):
                 break
             if result.refused:
-                await self._clock.sleep(REFUSED_PAUSE_MS)
-        if last is not None and not state.begun:
+                await self._clock.sleep(REFUSAL_BACKOFF_MS)
+        if last is not None and not state.head_sent:
             return await self._deliver(context, last, reply)
-        return outcomes.given_up(context, result)
+        return request_failures.attempts_exhausted(context, result)
 
-    async def _make_inputs(
+    async def _run_stages(
         self, context: ServingContext, results: StageResults
     ) -> Result[list[str], Failure]:
         """Makes a request's stages, unless it is not to run at all."""
@@ -329,16 +336,16 @@
                 context.service,
                 placement_id,
                 generation,
-                self._next.barred(context),
+                self._retry_policy.excluded(context),
                 inputs,
             )
             replica = placed.replica if placed else None
         else:
             replica = None
         if replica is None:
-            replica = self._next.best(context)
+            replica = self._retry_policy.choose(context)
         if replica is None:
-            return outcomes.no_replica(context), None
+            return request_failures.no_replica(context), None
         context.attempts += 1
         context.asking = replica.name
         context.crossed_bytes += sum(
@@ -349,7 +356,7 @@
         ended_well = False
         began = self._clock.now()
         context.engine_asked_at = began
-        self._health.started(replica.name)
+        self._health.record_start(replica.name)
 
         def on_first() -> None:
             if placed is not None:
@@ -358,7 +365,9 @@
 
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._free_when_fetched, context, results)
+                tasks.start_soon(
+                    self._free_inputs_after_fetch, context, results
+                )
                 with self._tracing.of_request(
                     "attempt",
                     context.request.request_id,
@@ -372,18 +381,20 @@
             ended_well = result.verdict is not None and (
                 result.verdict.succeeded
             )
-            self._note(context, replica, result, self._clock.now() - began)
+            self._record_attempt(
+                context, replica, result, self._clock.now() - began
+            )
             if result.delivered:
                 return None, result
             if ended_well and result.body is not None:
                 return await self._deliver(context, result, reply), None
             return None, result
         finally:
-            self._health.ended(replica.name)
+            self._health.record_end(replica.name)
             if placed is not None:
                 self._dispatch.ended(placed, failed=not ended_well)
 
-    async def _free_when_fetched(
+    async def _free_inputs_after_fetch(
         self, context: ServingContext, results: StageResults
     ) -> None:
         """Frees a request's inputs once its engine must have them.
@@ -400,7 +411,9 @@
             for number, handles in results.made.items()
             if number not in results.used
         )
-        fetch_ms = FETCH_MS + bytes_in_all / FETCH_BYTES_PER_MS
+        fetch_ms = (
+            INPUT_FETCH_OVERHEAD_MS + bytes_in_all / INPUT_FETCH_BYTES_PER_MS
+        )
         await self._clock.sleep(fetch_ms)
         self._stages.free(context, results)
 
@@ -411,17 +424,17 @@
         reply: Reply,
         state: StreamState,
         handles: list[str],
-        on_first: object,
+        on_first_event: object,
     ) -> AttemptResult:
         left_ms = context.first_by - self._clock.now()
-        more = self._next.may_go_elsewhere(context, replica)
+        more = self._retry_policy.can_fail_over(context, replica)
         if not context.route.streaming:
             repeat = context.route.repeat is RepeatPolicy.IDEMPOTENT and more
-            return await self._attempts.whole(
+            return await self._attempts.fetch(
                 context,
                 replica,
                 handles=handles,
-                timeout_ms=left_ms * FIRST_EVENT_SHARE if repeat else left_ms,
+                timeout_ms=left_ms * FIRST_ATTEMPT_SHARE if repeat else left_ms,
             )
         repeat = context.route.repeat is RepeatPolicy.RESUMABLE and more
         return await self._attempts.stream(
@@ -430,14 +443,14 @@
             reply,
             state,
             handles=handles,
-            first_wait_ms=(
-                left_ms * FIRST_EVENT_SHARE if repeat else NO_STREAM_LIMIT_MS
+            first_event_timeout_ms=(
+                left_ms * FIRST_ATTEMPT_SHARE if repeat else NO_TIMEOUT_MS
             ),
-            gap_wait_ms=GAP_WAIT_MS if repeat else NO_STREAM_LIMIT_MS,
-            on_first=on_first,  # type: ignore[arg-type]
+            gap_timeout_ms=GAP_TIMEOUT_MS if repeat else NO_TIMEOUT_MS,
+            on_first_event=on_first_event,  # type: ignore[arg-type]
         )
 
-    def _note(
+    def _record_attempt(
         self,
         context: ServingContext,
         replica: Replica,
@@ -451,10 +464,10 @@
             context.sent_to.append(replica.name)
         verdict = result.verdict
         if verdict is not None and verdict.load is not None:
-            self._health.load_told(replica.name, verdict.load)
-        if result.broken:
+            self._health.record_load(replica.name, verdict.load)
+        if result.connection_broken:
             self._quarantine.attempt_broke(context, replica)
-        elif result.ran_to_its_end:
+        elif result.completed:
             self._quarantine.served(context)
         if result.wrong_replica:
             self._deployment.mark_gone(
@@ -462,11 +475,11 @@
             )
         if verdict is not None and verdict.succeeded:
             if not context.route.streaming:
-                self._health.succeeded(replica.name, took_ms)
+                self._health.record_success(replica.name, took_ms)
             return
         context.failed_at.append(replica.name)
         if not (result.refused or result.inputs_gone):
-            self._health.failed(replica.name)
+            self._health.record_failure(replica.name)
         self._metrics.attempt_failed(context.service)
         events.log(
             events.Event.ATTEMPT_FAILED,
@@ -477,7 +490,7 @@
             ran=str(result.ran),
             took_ms=round(took_ms),
             detail=result.detail,
-            **({"digest": context.digest} if result.broken else {}),
+            **({"digest": context.digest} if result.connection_broken else {}),
         )
 
     async def _deliver(
--- a/cactusdyke/serving/in_flight.py
+++ b/cactusdyke/serving/in_flight.py
@@ -19,11 +19,11 @@
     from cactusdyke.serving.durations import RouteDurations
     from cactusdyke.serving.planned_stop import StopTimes
 
-LOOK_EVERY_MS = 50.0
+CHECK_INTERVAL_MS = 50.0
 
 
 @attrs.define(kw_only=True, eq=False)
-class InFlight:
+class InFlightRequest:
     """One request that is being served.
 
     Attributes:
@@ -44,7 +44,7 @@
         self.scope.cancel()
 
 
-class RequestsInFlight:
+class InFlightRequests:
     """Ends each request that its daemon would leave without an answer."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._clock = clock
         self._durations = durations
         self._stop = stop
-        self._requests: set[InFlight] = set()
+        self._requests: set[InFlightRequest] = set()
 
     @contextlib.contextmanager
     def track(
@@ -65,9 +65,9 @@
         context: ServingContext,
         state: StreamState,
         scope: anyio.CancelScope,
-    ) -> Iterator[InFlight]:
+    ) -> Iterator[InFlightRequest]:
         """Counts a request as in flight while the block runs."""
-        request = InFlight(context=context, state=state, scope=scope)
+        request = InFlightRequest(context=context, state=state, scope=scope)
         self._requests.add(request)
         try:
             yield request
@@ -83,12 +83,12 @@
         """
         while True:
             for request in tuple(self._requests):
-                if self._clock.now() >= self._may_go_on_until(request):
+                if self._clock.now() >= self._cancel_at(request):
                     request.stop()
-            await self._clock.sleep(LOOK_EVERY_MS)
+            await self._clock.sleep(CHECK_INTERVAL_MS)
 
-    def _may_go_on_until(self, request: InFlight) -> Instant:
-        if request.state.begun or request.stopped:
+    def _cancel_at(self, request: InFlightRequest) -> Instant:
+        if request.state.head_sent or request.stopped:
             return math.inf
         answers_by = self._stop().answers_by
         if request.context.asking:
--- a/cactusdyke/serving/placement.py
+++ b/cactusdyke/serving/placement.py
@@ -140,7 +140,7 @@
         engine.unread_tokens += unread
         engine.running += 1
         self._hold(engine, generation, chain, spec)
-        self._health.started(best.name)
+        self._health.record_start(best.name)
         return best
 
     def locate(
@@ -173,7 +173,7 @@
         took_ms = self._clock.now() - placement.placed_at
         self._stop_reading(placement)
         self._learn(placement, took_ms)
-        self._health.succeeded(placement.replica, took_ms)
+        self._health.record_success(placement.replica, took_ms)
 
     def ended(self, placement_id: str, *, failed: bool) -> None:
         """Notes that a request has left its engine."""
@@ -183,9 +183,9 @@
         self._stop_reading(placement)
         engine = self._engine(placement.replica)
         engine.running = max(0, engine.running - 1)
-        self._health.ended(placement.replica)
+        self._health.record_end(placement.replica)
         if failed:
-            self._health.failed(placement.replica)
+            self._health.record_failure(placement.replica)
 
     def learn_held(
         self, replica: str, generation: Generation, spec: EngineSpec
@@ -216,7 +216,7 @@
         )
         engine.unread_tokens += unread
         engine.running += 1
-        self._health.started(replica)
+        self._health.record_start(replica)
 
     def _cost(
         self,
@@ -308,7 +308,7 @@
         for name in list(self._engines):
             if name not in names and self._engines[name].running == 0:
                 del self._engines[name]
-        self._health.forget(names)
+        self._health.remove_unknown(names)
 
 
 def _chain(generation: Generation) -> list[int]:
--- a/cactusdyke/serving/outcomes.py
+++ b/cactusdyke/serving/request_failures.py
@@ -13,7 +13,7 @@
     from cactusdyke.serving.request import ServingContext
 
 RETRY_AFTER_MS = 300
-UNKNOWN_YET_RETRY_AFTER_MS = 500
+NOT_READY_RETRY_AFTER_MS = 500
 STOPPING_RETRY_AFTER_MS = 50
 """Callers may wait a third of their time; a queue of a call or two is over by
 then."""
@@ -23,7 +23,7 @@
 }
 
 
-def unread(failure: Failure) -> Failure:
+def for_unread_request(failure: Failure) -> Failure:
     """Returns the refusal of what was not read, with a time to come back."""
     retry_after_ms = UNREAD_RETRY_AFTER_MS.get(failure.kind)
     return attrs.evolve(failure, retry_after_ms=retry_after_ms)
@@ -38,7 +38,7 @@
     )
 
 
-def with_ran(context: ServingContext, failure: Failure) -> Failure:
+def for_whole_request(context: ServingContext, failure: Failure) -> Failure:
     """Returns a failure that tells the truth about the whole request."""
     if not context.may_have_run:
         retry_after_ms = failure.retry_after_ms or RETRY_AFTER_MS
@@ -67,19 +67,21 @@
 
 def no_replica(context: ServingContext) -> Failure:
     """Returns what ends a request that nobody can be sent."""
-    return with_ran(
+    return for_whole_request(
         context,
         Failure(
             kind=FailureKind.NO_BACKEND_SERVER,
             detail=f"no replica of {context.service} can be used",
-            retry_after_ms=UNKNOWN_YET_RETRY_AFTER_MS,
+            retry_after_ms=NOT_READY_RETRY_AFTER_MS,
         ),
     )
 
 
-def given_up(context: ServingContext, result: AttemptResult) -> Failure:
+def attempts_exhausted(
+    context: ServingContext, result: AttemptResult
+) -> Failure:
     """Returns what ends a request after its last attempt."""
-    return with_ran(
+    return for_whole_request(
         context,
         Failure(
             kind=FailureKind.NO_BACKEND_SERVER,
--- a/cactusdyke/serving/request_log.py
+++ b/cactusdyke/serving/request_log.py
@@ -80,7 +80,7 @@
                 "stages_ms": round(context.stages_ms),
                 "parts_ms": _parts_ms(context, 0.0),
                 "waited_ms": round(context.waited_ms),
-                "results_made": _results_made(context),
+                "results_made": _results_by_service(context),
             }
         route = context.route.name if context else ""
         self._metrics.ended(route, failure.kind.code, took_ms)
@@ -97,13 +97,13 @@
             **fields,
         )
 
-    def left(self, context: ServingContext, state: StreamState) -> None:
+    def caller_left(self, context: ServingContext, state: StreamState) -> None:
         """Logs and counts a request whose caller left."""
         self._unfinished(
             events.Event.REQUEST_LEFT, "caller_left", context, state
         )
 
-    def cut(self, context: ServingContext, state: StreamState) -> None:
+    def cut_by_stop(self, context: ServingContext, state: StreamState) -> None:
         """Logs and counts a request that the end of this daemon cut."""
         self._unfinished(events.Event.REQUEST_CUT, "cut", context, state)
 
@@ -120,12 +120,12 @@
             event,
             request_id=context.request.request_id,
             route=context.route.name,
-            events=state.events,
+            events=state.event_count,
             attempts=context.attempts,
             waiting_for=context.waiting_for,
             stages_ms=round(context.stages_ms),
             parts_ms=_parts_ms(context, 0.0),
-            results_made=_results_made(context),
+            results_made=_results_by_service(context),
             took_ms=round(took_ms),
         )
 
@@ -146,7 +146,7 @@
     return parts
 
 
-def _results_made(context: ServingContext) -> dict[str, int]:
+def _results_by_service(context: ServingContext) -> dict[str, int]:
     """Returns how many results were made for a request, by service."""
     made: dict[str, int] = {}
     for number, count in context.results_made.items():
--- a/cactusdyke/serving/retry_budget.py
+++ b/cactusdyke/serving/retry_budget.py
@@ -28,7 +28,7 @@
     window_ms: float = 10_000.0
 
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Of the allowance; members that were just added are not counted yet."""
 
 
@@ -45,25 +45,25 @@
         *,
         clock: Clock,
         allowance: Callable[[], RetryAllowance],
-        daemons: Callable[[], int],
+        daemon_count: Callable[[], int],
     ) -> None:
         self._clock = clock
         self._allowance = allowance
-        self._daemons = daemons
-        self._firsts: dict[str, collections.deque[Instant]] = {}
+        self._daemon_count = daemon_count
+        self._requests: dict[str, collections.deque[Instant]] = {}
         self._retries: dict[str, collections.deque[Instant]] = {}
 
-    def note_first(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Counts a request for a service."""
-        self._recent(self._firsts, service).append(self._clock.now())
+        self._recent(self._requests, service).append(self._clock.now())
 
     def spend(self, service: str) -> bool:
         """Returns whether a retry may be made, and counts it."""
         allowance = self._allowance()
-        own = allowance.ratio * len(self._recent(self._firsts, service))
-        share = allowance.slack / max(1, self._daemons())
+        own = allowance.ratio * len(self._recent(self._requests, service))
+        share = allowance.slack / max(1, self._daemon_count())
         spent = self._recent(self._retries, service)
-        if len(spent) + 1 > SAFETY * (own + share):
+        if len(spent) + 1 > SAFETY_FACTOR * (own + share):
             return False
         spent.append(self._clock.now())
         return True
--- a/cactusdyke/serving/next_attempt.py
+++ b/cactusdyke/serving/retry_policy.py
@@ -20,11 +20,11 @@
     from cactusdyke.serving.request import ServingContext
     from cactusdyke.serving.retry_budget import RetryBudget
 
-MOST_SENDS = 4
+MAX_ATTEMPTS = 4
 """Whatever a route allows: a request that failed so often fails again."""
 
 
-class NextAttempt:
+class RetryPolicy:
     """Decides on a request's next attempt from what its last ones brought."""
 
     def __init__(
@@ -35,22 +35,22 @@
         deployment: Deployment,
         health: ReplicaHealth,
         budget: RetryBudget,
-        connections: ConnectionShare,
+        connection_share: ConnectionShare,
     ) -> None:
         self._rng = rng
         self._data_centre = data_centre
         self._deployment = deployment
         self._health = health
         self._budget = budget
-        self._connections = connections
+        self._connection_share = connection_share
 
-    def allowed(self, context: ServingContext, result: AttemptResult) -> bool:
+    def may_retry(self, context: ServingContext, result: AttemptResult) -> bool:
         """Returns whether another attempt is made, and spends its budget."""
         repeatable = (
             result.ran is Ran.NOT_RUN
             or context.route.repeat is not RepeatPolicy.AT_MOST_ONCE
         )
-        if not repeatable or context.attempts >= MOST_SENDS:
+        if not repeatable or context.attempts >= MAX_ATTEMPTS:
             return False
         if result.ran is not Ran.NOT_RUN:
             context.runs += 1
@@ -67,12 +67,10 @@
             return False
         return True
 
-    def may_go_elsewhere(
-        self, context: ServingContext, replica: Replica
-    ) -> bool:
+    def can_fail_over(self, context: ServingContext, replica: Replica) -> bool:
         """Returns whether another replica could take over from this one."""
         sent_to = {*context.sent_to, replica.name}
-        if len(sent_to) >= min(context.route.max_attempts, MOST_SENDS):
+        if len(sent_to) >= min(context.route.max_attempts, MAX_ATTEMPTS):
             return False
         usable = self._deployment.usable(context.service)
         return any(other.name not in sent_to for other in usable)
@@ -86,13 +84,13 @@
         usable = [
             replica
             for replica in self._deployment.usable(context.service)
-            if self._connections.has_room(replica)
+            if self._connection_share.has_capacity(replica)
         ]
         if len(context.sent_to) < context.route.max_attempts:
             return usable
         return [r for r in usable if r.name in context.sent_to]
 
-    def barred(self, context: ServingContext) -> set[str]:
+    def excluded(self, context: ServingContext) -> set[str]:
         """Returns the engines that a placement must leave out."""
         usable = self._deployment.usable(context.service)
         allowed = {r.name for r in self.candidates(context)}
@@ -100,12 +98,12 @@
         failed = set(context.failed_at)
         return barred if allowed <= failed else barred | failed
 
-    def best(self, context: ServingContext) -> Replica | None:
+    def choose(self, context: ServingContext) -> Replica | None:
         """Returns the replica that should answer soonest."""
         return balance.choose(
             self.candidates(context),
             self._health,
             rng=self._rng,
-            here=self._data_centre,
+            local_data_centre=self._data_centre,
             exclude=context.failed_at,
         )
--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -16,7 +16,7 @@
 from cactusdyke.observe.log_sink import LogSink
 from cactusdyke.observe.tracing import Tracing
 from cactusdyke.platform.wire import PlatformDialect
-from cactusdyke.serving.attempt import Attempts, StreamState
+from cactusdyke.serving.attempt import AttemptRunner, StreamState
 from cactusdyke.serving.decider import Decider
 from cactusdyke.serving.deployment import Deployment
 from cactusdyke.serving.dialect import AnswerKind, AnswerVerdict, Piece
@@ -31,13 +31,13 @@
 from cactusdyke.serving.peers import PeerDaemon
 from cactusdyke.serving.stage_queue import PieceGroup, PieceTask
 from cactusdyke.transport.messages import json_response
-from features.steps.serving_steps import HandClock
+from features.steps.serving_steps import ManualClock
 from features.support.serving_values import NoConnections
 from standins.virtual import run_virtual
 
 
 def _sink(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.read_end, write_end = os.pipe()
     os.set_blocking(context.read_end, False)
     context.sink = LogSink(
@@ -124,7 +124,7 @@
 @given("a daemon that believes five others dead")
 def cut_off(context):
     context.view = MemberView(
-        clock=HandClock(),
+        clock=ManualClock(),
         members=CutOffMembers(),
         front_address="a:1",
         size=0,
@@ -346,7 +346,7 @@
 @when("the attempt is ended for it")
 def ended_for_it(context):
     async def run():
-        attempts = Attempts(
+        attempts = AttemptRunner(
             clock=EventLoopClock(), dialect=PlatformDialect(), connections=None
         )
         verdict = AnswerVerdict(
@@ -357,14 +357,14 @@
             load=None,
         )
         with anyio.CancelScope() as wait:
-            await attempts._pass_on(
+            await attempts._forward_events(
                 context.body(wait),
                 verdict,
                 context.reply,
                 context.state,
-                wait=wait,
-                gap_wait_ms=1_000.0,
-                on_first=lambda: None,
+                timeout_scope=wait,
+                gap_timeout_ms=1_000.0,
+                on_first_event=lambda: None,
             )
 
     run_virtual(run)
@@ -373,7 +373,9 @@
 @then("all events that count as passed on were written")
 def all_written(context):
     written = context.reply.data.count(b"id: ")
-    assert context.state.last == written == context.state.events, (
+    assert (
+        context.state.last_event_number == written == context.state.event_count
+    ), (
         context.state,
         context.reply.data,
     )
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -33,7 +33,7 @@
 from cactusdyke.serving.request import Generation, PromptPart
 from cactusdyke.serving.stage_queue import StageQueue
 from cactusdyke.transport.messages import json_response
-from features.steps.serving_steps import HandClock
+from features.steps.serving_steps import ManualClock
 from features.steps.stage_queue_steps import (
     MB,
     batch_spec,
@@ -129,7 +129,7 @@
 
 @given("a daemon whose request holds 4 of a maker's 4 results")
 def holds(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.holdings = Holdings(clock=context.clock)
     names = [f"m1/{n}" for n in range(5)]
     context.holdings.made(SERVICE, names, MB)
@@ -184,7 +184,7 @@
 
 @given("a daemon whose requests of a subject were read away from its home")
 def read_away(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     usual = EnginePlacer(clock=context.clock).place(
         "p", _prompt("x"), _engines(), ENGINE
     )
@@ -380,7 +380,7 @@
 
 @given("a daemon among 75 members")
 def many_members(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.members = ManyMembers()
     context.view = MemberView(
         clock=context.clock,
@@ -482,7 +482,7 @@
 
 @given("a daemon that is asked to decide for a service")
 def asked_to_decide(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.node = Node("d1", context.clock, None)
 
 
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -8,7 +8,7 @@
 from cactusdyke.clock import EventLoopClock
 from cactusdyke.serving.attempt import StreamState
 from cactusdyke.serving.durations import RequestDuration, RouteDurations
-from cactusdyke.serving.in_flight import LOOK_EVERY_MS, RequestsInFlight
+from cactusdyke.serving.in_flight import CHECK_INTERVAL_MS, InFlightRequests
 from cactusdyke.serving.planned_stop import StopTimes
 from features.steps.serving_steps import route
 from features.support.serving_values import serving_context
@@ -34,14 +34,14 @@
     states = {
         "stages": ("", StreamState()),
         "replica": ("e1", StreamState()),
-        "stream": ("e1", StreamState(begun=True)),
+        "stream": ("e1", StreamState(head_sent=True)),
     }
     context.ended_ms = {}
 
     async def run():
         clock = EventLoopClock()
         began = clock.now()
-        requests = RequestsInFlight(
+        requests = InFlightRequests(
             clock=clock,
             durations=context.durations,
             stop=lambda: StopTimes(answers_by=began + ANSWERS_BY_MS),
@@ -67,7 +67,7 @@
 
 
 def soon_after(ended_ms, due_ms):
-    return due_ms <= ended_ms <= due_ms + 2 * LOOK_EVERY_MS
+    return due_ms <= ended_ms <= due_ms + 2 * CHECK_INTERVAL_MS
 
 
 @then("the first is ended while another attempt would not end in time")
--- a/features/steps/places_steps.py
+++ b/features/steps/places_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from cactusdyke.serving.placement import EnginePlacer
-from features.steps.serving_steps import ENGINE, HandClock, prompt, replica
+from features.steps.serving_steps import ENGINE, ManualClock, prompt, replica
 from features.steps.stage_queue_steps import MB, group, made
 
 PLACES = ("north", "middle", "south")
@@ -19,7 +19,7 @@
         replica(f"e{n}", "engine", slots=64, data_centre=PLACES[n % 3])
         for n in range(9)
     ]
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.placer = EnginePlacer(clock=context.clock)
 
 
--- a/features/steps/platform_forwarding_steps.py
+++ b/features/steps/platform_forwarding_steps.py
@@ -277,7 +277,7 @@
 def unexpected_error(context):
     async def story(world):
         await plain_world(world, replicas=("p1",))
-        choice = world.daemons["d1"]._core.forwarder._next
+        choice = world.daemons["d1"]._core.forwarder._retry_policy
         usual = choice.candidates
         choice.candidates = lambda context: 1 // 0
         try:
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -30,7 +30,7 @@
 from cactusdyke.serving.stage_queue import Backlog, Batch
 from cactusdyke.serving.stages import StageResults, StageRunner
 from features.steps.daemon_steps import _decider_world
-from features.steps.serving_steps import HandClock, KnownBacklogs, route
+from features.steps.serving_steps import FakeDispatch, ManualClock, route
 from features.steps.stage_queue_steps import MB, _queue, group, made, names
 from features.support import serving_values as values
 from features.support.member_fleet import MemberFleet
@@ -355,7 +355,7 @@
     assert not context.frees(backlog_ms=500.0, stable_ms=2_900.0)
 
 
-class LosesInputs(KnownBacklogs):
+class LosesInputs(FakeDispatch):
     """Makes what it is asked for, but for one piece whose inputs are gone."""
 
     loser = "narrow"
@@ -492,7 +492,7 @@
     assert context.begun == {"work False": False, "work True": True}
 
 
-class BehindUntil(KnownBacklogs):
+class BehindUntil(FakeDispatch):
     """The second stage is behind until a moment."""
 
     until = math.inf
@@ -620,7 +620,7 @@
     assert names(context.queue.next_batch(["m1"])) == ["plain", "plain"]
 
 
-class EventClock(HandClock):
+class EventClock(ManualClock):
     """Sleeps on the event loop's virtual time."""
 
     async def sleep(self, duration_ms):
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -47,7 +47,7 @@
 from standins.virtual import run_virtual
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     """A clock that is set by hand."""
 
     def __init__(self):
@@ -137,7 +137,7 @@
 
 @given("a deployment with version 7 in force")
 def deployment_with_version(context):
-    context.deployment = Deployment(clock=HandClock())
+    context.deployment = Deployment(clock=ManualClock())
     assert context.deployment.apply(configuration(7), source="test")
 
 
@@ -158,7 +158,7 @@
 
 @given("a deployment with routes of priority 0 and 2")
 def two_routes(context):
-    context.deployment = Deployment(clock=HandClock())
+    context.deployment = Deployment(clock=ManualClock())
     context.routes = [route("a", priority=0), route("b", priority=2)]
     context.deployment.apply(
         attrs.evolve(configuration(1), routes=tuple(context.routes)),
@@ -189,7 +189,7 @@
 
 @given("a deployment with two replicas of a service")
 def deployment_with_replicas(context):
-    context.deployment = Deployment(clock=HandClock())
+    context.deployment = Deployment(clock=ManualClock())
     context.first = replica("r1", born=5)
     context.deployment.replace_replicas([context.first, replica("r2")])
     assert len(context.deployment.usable("plain")) == 2
@@ -222,13 +222,13 @@
 
 
 def _spend_retries(believed_daemons):
-    clock = HandClock()
+    clock = ManualClock()
     allowance = RetryAllowance(ratio=0.2, slack=52, window_ms=10_000)
     budgets = [
         RetryBudget(
             clock=clock,
             allowance=lambda: allowance,
-            daemons=lambda: believed_daemons,
+            daemon_count=lambda: believed_daemons,
         )
         for _ in range(6)
     ]
@@ -237,7 +237,7 @@
         clock.ms = step * 10.0
         for budget in budgets:
             if step % 20 == 0:
-                budget.note_first("service")
+                budget.record_request("service")
                 firsts.append(clock.ms)
             if budget.spend("service"):
                 retries.append(clock.ms)
@@ -267,7 +267,7 @@
 
 @when("one of three replicas fails four of ten requests for a while")
 def grey_replica(context):
-    clock = HandClock()
+    clock = ManualClock()
     health = ReplicaHealth(clock=clock)
     rng = random.Random(3)
     replicas = [replica(name) for name in ("r1", "r2", "r3")]
@@ -276,14 +276,16 @@
         chosen = collections.Counter()
         for _ in range(count):
             clock.ms += 25.0
-            one = balance.choose(replicas, health, rng=rng, here="here")
+            one = balance.choose(
+                replicas, health, rng=rng, local_data_centre="here"
+            )
             chosen[one.name] += 1
-            health.started(one.name)
-            health.ended(one.name)
+            health.record_start(one.name)
+            health.record_end(one.name)
             if one.name == "r1" and rng.random() < failing:
-                health.failed(one.name)
+                health.record_failure(one.name)
             else:
-                health.succeeded(one.name, 90.0 + rng.uniform(-30, 30))
+                health.record_success(one.name, 90.0 + rng.uniform(-30, 30))
         return chosen["r1"] / count
 
     serve(100, 0.0)
@@ -324,7 +326,7 @@
 
 @when("300 requests of 30 subjects are placed on five engines")
 def place_subjects(context):
-    clock = HandClock()
+    clock = ManualClock()
     placer = EnginePlacer(clock=clock)
     rng = random.Random(1)
     context.places = collections.defaultdict(set)
@@ -348,7 +350,7 @@
 
 @when("60 requests of one subject are placed on five engines at once")
 def place_hot(context):
-    placer = EnginePlacer(clock=HandClock())
+    placer = EnginePlacer(clock=ManualClock())
     context.chosen = collections.Counter(
         placer.place(str(n), prompt(0, request=n), engines(5), ENGINE).name
         for n in range(60)
@@ -362,7 +364,7 @@
 
 @when("a prompt of 50000 tokens is placed and then ten short ones")
 def place_long(context):
-    placer = EnginePlacer(clock=HandClock())
+    placer = EnginePlacer(clock=ManualClock())
     context.long = placer.place(
         "long", prompt(99, shared=0, own=50_000), engines(5), ENGINE
     )
@@ -381,7 +383,7 @@
 
 @when("an engine fails the first three requests it gets")
 def engine_fails(context):
-    clock = HandClock()
+    clock = ManualClock()
     placer = EnginePlacer(clock=clock)
     for number in range(3):
         chosen = placer.place(
@@ -410,12 +412,12 @@
     for subject in range(40):
         chosen = []
         for _ in range(2):
-            placer = EnginePlacer(clock=HandClock())
+            placer = EnginePlacer(clock=ManualClock())
             placer.place("x", prompt(1_000), engines(5), ENGINE)
             chosen.append(
                 placer.place("y", prompt(subject), engines(5), ENGINE).name
             )
-        homes = EnginePlacer(clock=HandClock())
+        homes = EnginePlacer(clock=ManualClock())
         alone = homes.place("z", prompt(subject), engines(5), ENGINE).name
         context.same += chosen[0] == chosen[1] == alone
 
@@ -427,7 +429,7 @@
 
 @when("500 subjects of 20000 tokens are placed on one engine")
 def fill_engine(context):
-    clock = HandClock()
+    clock = ManualClock()
     placer = EnginePlacer(clock=clock)
     for subject in range(500):
         clock.ms += 1_000.0
@@ -465,7 +467,7 @@
 
 @given("three daemons of which one decides for a service")
 def three_daemons(context):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.watch = PeerWatch(clock=context.clock, network=None)
     context.deciders = Deciders(
         clock=context.clock, daemons=ThreeDaemons(), watch=context.watch
@@ -500,7 +502,7 @@
     assert context.deciders.first("service").name == by_members
 
 
-class KnownBacklogs:
+class FakeDispatch:
     """Stands for the daemons that decide for stages."""
 
     def __init__(self, **backlogs_ms):
@@ -539,7 +541,7 @@
 
 @when("pieces with two inputs here and one there are queued")
 def queue_pieces(context):
-    deployment = Deployment(clock=HandClock())
+    deployment = Deployment(clock=ManualClock())
     deployment.replace_replicas(
         [
             replica("r1", address="1.1.1.1:1", data_centre="here"),
@@ -559,7 +561,7 @@
                 result_room_bytes=1e9,
                 result_lifetime_ms=4_000.0,
             ),
-            clock=HandClock(),
+            clock=ManualClock(),
             deployment=deployment,
             dialect=PlatformDialect(),
             connections=values.NoConnections(),
@@ -594,12 +596,12 @@
 
 
 def _stages(context, **backlogs_ms):
-    context.dispatch = KnownBacklogs(**backlogs_ms)
+    context.dispatch = FakeDispatch(**backlogs_ms)
     context.runner = StageRunner(
-        clock=HandClock(),
+        clock=ManualClock(),
         rng=random.Random(1),
         dispatch=context.dispatch,
-        deployment=Deployment(clock=HandClock()),
+        deployment=Deployment(clock=ManualClock()),
     )
 
 
@@ -660,7 +662,7 @@
 
 
 def _desk(max_connections):
-    deployment = Deployment(clock=HandClock())
+    deployment = Deployment(clock=ManualClock())
     desk = ServiceSpec(name="desk", max_connections=max_connections)
     deployment.apply(
         ServingConfiguration(
@@ -677,9 +679,9 @@
 
 @given("a replica that accepts 96 connections from six daemons")
 def bounded_replica(context):
-    context.health = ReplicaHealth(clock=HandClock())
+    context.health = ReplicaHealth(clock=ManualClock())
     context.share = ConnectionShare(
-        deployment=_desk(96), health=context.health, daemons=lambda: 6
+        deployment=_desk(96), health=context.health, daemon_count=lambda: 6
     )
     context.bounded = replica("r1", "desk")
 
@@ -687,29 +689,29 @@
 @when("twelve requests are under way there from one daemon")
 def twelve_under_way(context):
     for _ in range(12):
-        context.health.started("r1")
+        context.health.record_start("r1")
 
 
 @then("another one fits, and none after it until one has ended")
 def check_bound(context):
-    assert context.share.has_room(context.bounded)
-    context.health.started("r1")
-    assert not context.share.has_room(context.bounded)
-    context.health.ended("r1")
-    assert context.share.has_room(context.bounded)
+    assert context.share.has_capacity(context.bounded)
+    context.health.record_start("r1")
+    assert not context.share.has_capacity(context.bounded)
+    context.health.record_end("r1")
+    assert context.share.has_capacity(context.bounded)
 
 
 @then("a daemon that knows no limit, or of no other daemon, still sends one")
 def check_least(context):
     crowd = ConnectionShare(
         deployment=_desk(3),
-        health=ReplicaHealth(clock=HandClock()),
-        daemons=lambda: 75,
+        health=ReplicaHealth(clock=ManualClock()),
+        daemon_count=lambda: 75,
     )
-    assert crowd.has_room(context.bounded)
+    assert crowd.has_capacity(context.bounded)
     unknown = ConnectionShare(
-        deployment=Deployment(clock=HandClock()),
+        deployment=Deployment(clock=ManualClock()),
         health=context.health,
-        daemons=lambda: 6,
+        daemon_count=lambda: 6,
     )
-    assert unknown.has_room(context.bounded)
+    assert unknown.has_capacity(context.bounded)
--- a/features/steps/stage_queue_steps.py
+++ b/features/steps/stage_queue_steps.py
@@ -19,7 +19,7 @@
 from cactusdyke.serving.dialect import Piece, PieceFailure, PieceResult
 from cactusdyke.serving.model import BatchSpec
 from cactusdyke.serving.stage_queue import PieceGroup, PieceTask, StageQueue
-from features.steps.serving_steps import HandClock
+from features.steps.serving_steps import ManualClock
 
 MB = 1e6
 
@@ -64,7 +64,7 @@
 
 
 def _queue(context, makers, **changes):
-    context.clock = HandClock()
+    context.clock = ManualClock()
     context.makers = makers
     context.queue = StageQueue(clock=context.clock, spec=batch_spec(**changes))
     for maker in makers:
@@ -348,7 +348,7 @@
 
     def __init__(self):
         super().__init__()
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.queue = self.kind(
             clock=self.clock, spec=batch_spec(result_room_bytes=8 * MB)
         )
@@ -475,7 +475,7 @@
 def play(rate, pattern, *, alone):
     """Returns how many of 100 requests are on time, in virtual time."""
     rng = random.Random(11)
-    clock = HandClock()
+    clock = ManualClock()
     spec = batch_spec(batch=5)
     queue = StageQueue(clock=clock, spec=spec)
     makers = ["m1", "m2", "m3"]
