--- a/cactusdyke/serving/attempt.py
+++ b/cactusdyke/serving/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one replica."""
+"""Sends a request to one replica and classifies the answer."""
 
 from __future__ import annotations
 
@@ -25,21 +25,23 @@
     from cactusdyke.transport.front_interface import Reply
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Answers are checked whole before the first byte is passed on."""
+"""An answer that is not streamed is buffered and checked in full before its
+first byte is forwarded."""
 
 
 @attrs.frozen(kw_only=True)
 class AttemptResult:
-    """How one attempt ended.
+    """The result of one attempt.
 
     Attributes:
-        ran: What is true of it.
-        detail: What happened.
-        verdict: The answer's head, if one came.
-        body: The answer's whole body, if it was read.
-        delivered: Whether the caller has got the whole answer.
-        sent: Whether a byte was handed over.
-        broken: Whether the connection ended with the answer not whole.
+        ran: Whether the replica ran the request.
+        detail: What happened, for logs and error texts.
+        verdict: The classified head of the answer, if one arrived.
+        body: The complete body of the answer, if it was read.
+        delivered: Whether the caller has received the complete answer.
+        sent: Whether any byte of the request was written to the connection.
+        broken: Whether the connection ended before the answer was
+            complete.
     """
 
     ran: Ran
@@ -52,23 +54,23 @@
 
     @property
     def inputs_gone(self) -> bool:
-        """Whether a stage's result was gone."""
+        """Whether the replica could no longer fetch a stage's result."""
         return self._is_kind(AnswerKind.INPUTS_GONE)
 
     @property
     def completed(self) -> bool:
-        """Whether the replica has given its whole answer, a failure or not."""
-        whole = self.delivered or self.body is not None
-        return whole and self._is_kind(AnswerKind.ANSWER)
+        """Whether the replica sent a complete answer, a failure included."""
+        complete = self.delivered or self.body is not None
+        return complete and self._is_kind(AnswerKind.ANSWER)
 
     @property
     def wrong_replica(self) -> bool:
-        """Whether another replica has the address."""
+        """Whether the address now belongs to another replica."""
         return self._is_kind(AnswerKind.WRONG_REPLICA)
 
     @property
     def refused(self) -> bool:
-        """Whether the replica had no place."""
+        """Whether the replica refused the request for lack of capacity."""
         return self._is_kind(AnswerKind.REFUSED)
 
     def _is_kind(self, kind: AnswerKind) -> bool:
@@ -77,16 +79,16 @@
 
 @attrs.define(kw_only=True)
 class StreamState:
-    """What a caller has got of a stream, over all attempts.
+    """What a caller has received of a stream, over all attempts.
 
     Attributes:
-        begun: Whether the head was sent.
-        last: Number of the last event passed on.
-        first_event_at: When the first event was passed on.
-        longest_gap_ms: The longest pause between two events.
-        event_at: When the last event was passed on.
-        events: How many were passed on.
-        on_begin: Called as the head is sent.
+        head_sent: Whether the head of the answer was sent.
+        last_event_number: Number of the last event that was forwarded.
+        first_event_at: When the first event was forwarded.
+        longest_gap_ms: The longest time between two events.
+        last_event_at: When the last event was forwarded.
+        event_count: How many events were forwarded.
+        on_head: Called just before the head is sent.
     """
 
     head_sent: bool = False
@@ -99,7 +101,7 @@
 
 
 class AttemptRunner:
-    """Makes attempts and judges what came back."""
+    """Sends requests to replicas, and classifies and forwards the answers."""
 
     def __init__(
         self,
@@ -120,7 +122,7 @@
         handles: Sequence[str],
         timeout_ms: float,
     ) -> AttemptResult:
-        """Makes an attempt and reads its answer whole."""
+        """Makes an attempt and reads the complete answer."""
         result = _timed_out(timeout_ms)
         exchange: Exchange | None = None
         with self._clock.timeout(timeout_ms):
@@ -148,22 +150,23 @@
         gap_timeout_ms: float,
         on_first_event: Callable[[], None],
     ) -> AttemptResult:
-        """Makes an attempt and passes its events on as they come.
+        """Makes an attempt and forwards its events as they arrive.
 
         Args:
             context: The request.
-            replica: Where to send it.
-            reply: Where events go.
-            state: What the caller has got so far; carried on.
-            handles: The results that the request needs.
-            first_event_timeout_ms: Longest wait for the first event.
-            gap_timeout_ms: Longest wait between two events.
+            replica: The replica to send it to.
+            reply: Receives the events.
+            state: What the caller has received so far; updated in place.
+            handles: The stage results that the request needs.
+            first_event_timeout_ms: Longest wait for the first event, in
+                milliseconds.
+            gap_timeout_ms: Longest wait between two events, in milliseconds.
             on_first_event: Called with the first event of this attempt.
         """
         result = _timed_out(first_event_timeout_ms)
         sent = False
         try:
-            with self._clock.timeout(first_event_timeout_ms) as wait:
+            with self._clock.timeout(first_event_timeout_ms) as timeout_scope:
                 async with self._connections.connect(
                     replica.address
                 ) as exchange:
@@ -184,7 +187,7 @@
                         verdict,
                         reply,
                         state,
-                        timeout_scope=wait,
+                        timeout_scope=timeout_scope,
                         gap_timeout_ms=gap_timeout_ms,
                         on_first_event=on_first_event,
                     )
@@ -256,24 +259,25 @@
         on_first_event: Callable[[], None],
     ) -> None:
         reader = self._dialect.event_reader()
-        first = True
+        is_first = True
         async with contextlib.aclosing(exchange.body()) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
                 events = reader.feed(chunk)
                 if not events:
                     continue
-                if first:
-                    first = False
+                if is_first:
+                    is_first = False
                     on_first_event()
                 self._check_order(events, state, exchange)
                 now = self._clock.now()
                 timeout_scope.deadline = (
                     anyio.current_time() + gap_timeout_ms / MS_PER_SECOND
                 )
-                # A frozen daemon wakes with events to read and the time for
-                # them over. Ended between counting them as passed on and
-                # writing them, the attempt was resumed behind them: seen as a
-                # stream that lacked one. Writes have a time of their own.
+                # A daemon that was suspended resumes with events to read and
+                # their timeout expired. Cancelled between counting the events
+                # as forwarded and writing them, the attempt would be resumed
+                # after them, and the stream would lack events. Writes have
+                # timeouts of their own.
                 with anyio.CancelScope(shield=True):
                     if not state.head_sent:
                         state.head_sent = True
@@ -289,7 +293,7 @@
                     await reply.part(b"".join(event.data for event in events))
         if reader.rest.strip():
             raise ExchangeError(
-                "the stream ended within an event", sent=exchange.sent
+                "the stream ended in the middle of an event", sent=exchange.sent
             )
         with anyio.CancelScope(shield=True):
             if not state.head_sent:
@@ -313,7 +317,7 @@
             )
             if expected is not None and event.number != expected:
                 raise ExchangeError(
-                    f"event {event.number} came in place of {expected}",
+                    f"received event {event.number}, expected {expected}",
                     sent=exchange.sent,
                 )
             state.last_event_number = event.number
@@ -321,7 +325,7 @@
 
 def _timed_out(timeout_ms: float) -> AttemptResult:
     return AttemptResult(
-        ran=Ran.UNKNOWN, detail=f"no answer in {timeout_ms:.0f} ms"
+        ran=Ran.UNKNOWN, detail=f"no answer within {timeout_ms:.0f} ms"
     )
 
 
--- a/cactusdyke/serving/connection_share.py
+++ b/cactusdyke/serving/connection_share.py
@@ -1,4 +1,4 @@
-"""This daemon's share of the connections that a replica accepts."""
+"""Limits this daemon's connections to each replica."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     from cactusdyke.serving.model import Replica
 
 SAFETY_FACTOR = 0.8
-"""Of the share; connections that were just closed still count at the replica,
-and so do health checks and calls for stages."""
+"""Share of the limit that is used: at the replica, connections that were just
+closed still count, and so do health checks and stage calls."""
 
 
 class ConnectionShare:
-    """Keeps each replica below the connections that it accepts from all.
+    """Keeps all daemons together below the connection limit of each replica.
 
-    A replica resets what comes beyond. To a caller that reads as "outcome
-    unknown", though nothing ran: a booking is lost by it, while a refusal
-    could have been taken elsewhere. One part in as many as there are daemons
-    is kept to without a message between them.
+    A replica resets connections beyond its limit. The caller then gets "outcome
+    unknown" although nothing ran, and loses its booking, whereas a refused
+    request could have been sent elsewhere. Each daemon uses an equal share of
+    the limit, which needs no coordination.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._daemon_count = daemon_count
 
     def has_capacity(self, replica: Replica) -> bool:
-        """Returns whether one more request may be sent to a replica."""
+        """Returns whether another request may be sent to a replica."""
         configuration = self._deployment.configuration
         spec = (
             configuration.services.get(replica.service)
--- a/cactusdyke/serving/health.py
+++ b/cactusdyke/serving/health.py
@@ -1,4 +1,4 @@
-"""How replicas have done lately: failures, latency, requests in flight."""
+"""Recent failures, latency and load of each replica."""
 
 from __future__ import annotations
 
@@ -14,117 +14,124 @@
     from cactusdyke.clock import Clock
 
 DECAY_MS = 4_000.0
-"""Time in which what was seen loses two thirds of its weight: long enough to
-keep a failing replica out, short enough to find it well again."""
+"""Time in which observations lose about two thirds of their weight: long enough
+to avoid a failing replica, short enough to detect its recovery."""
 PRIOR_SUCCESSES = 2.0
-"""Successes assumed of a replica that nothing is known of."""
+"""Successes assumed for a replica without observations."""
 LOAD_LIFETIME_MS = 1_500.0
 
 
 @attrs.define(kw_only=True)
-class _Record:
-    at: Instant = 0.0
-    good: float = 0.0
-    bad: float = 0.0
+class _ReplicaStats:
+    updated_at: Instant = 0.0
+    successes: float = 0.0
+    failures: float = 0.0
     latency_ms: float = 0.0
-    weight: float = 0.0
+    latency_weight: float = 0.0
     in_flight: int = 0
     load: ReplicaLoad | None = None
-    load_at: Instant = -math.inf
-    own_at_load: int = 0
-    sent_at: Instant = -math.inf
+    load_received_at: Instant = -math.inf
+    in_flight_at_load: int = 0
+    last_sent_at: Instant = -math.inf
 
 
 class ReplicaHealth:
-    """Recent outcomes and latencies by replica, forgotten with time.
+    """Recent outcomes and latencies of each replica, with exponential decay.
 
-    A replica that fails part of its requests while its health check is good
-    shows here and nowhere else. Nothing is ejected for good: what is known
-    fades, and the replica is tried again with a real request.
+    Only request outcomes reveal a replica that passes its health check and
+    still fails some requests. No replica is ejected permanently: observations
+    decay, and the replica is tried again with a real request.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._records: dict[str, _Record] = {}
+        self._stats: dict[str, _ReplicaStats] = {}
 
     def record_start(self, name: str) -> None:
-        """Counts a request as in flight."""
-        record = self._decayed(name)
-        record.in_flight += 1
-        record.sent_at = self._clock.now()
+        """Records that a request was sent to a replica."""
+        stats = self._decayed(name)
+        stats.in_flight += 1
+        stats.last_sent_at = self._clock.now()
 
     def record_end(self, name: str) -> None:
-        """Counts it no longer."""
-        record = self._decayed(name)
-        record.in_flight = max(0, record.in_flight - 1)
+        """Records that a request to a replica has ended."""
+        stats = self._decayed(name)
+        stats.in_flight = max(0, stats.in_flight - 1)
 
     def record_success(self, name: str, latency_ms: float) -> None:
-        """Notes an answer and how long it took."""
-        record = self._decayed(name)
-        record.good += 1
-        record.latency_ms = (record.latency_ms * record.weight + latency_ms) / (
-            record.weight + 1
-        )
-        record.weight += 1
+        """Records a successful answer and its latency."""
+        stats = self._decayed(name)
+        stats.successes += 1
+        stats.latency_ms = (
+            stats.latency_ms * stats.latency_weight + latency_ms
+        ) / (stats.latency_weight + 1)
+        stats.latency_weight += 1
 
     def record_failure(self, name: str, *, weight: float = 1.0) -> None:
-        """Notes a failure."""
-        self._decayed(name).bad += weight
+        """Records a failure."""
+        self._decayed(name).failures += weight
 
     def record_load(self, name: str, load: ReplicaLoad) -> None:
-        """Notes what a replica said of its load."""
-        record = self._decayed(name)
-        record.load = load
-        record.load_at = self._clock.now()
-        record.own_at_load = record.in_flight
+        """Records the load that a replica reported."""
+        stats = self._decayed(name)
+        stats.load = load
+        stats.load_received_at = self._clock.now()
+        stats.in_flight_at_load = stats.in_flight
 
     def failure_share(self, name: str) -> float:
         """Returns the recent share of failures, 0 to 1."""
-        record = self._decayed(name)
-        return record.bad / (record.good + record.bad + PRIOR_SUCCESSES)
+        stats = self._decayed(name)
+        return stats.failures / (
+            stats.successes + stats.failures + PRIOR_SUCCESSES
+        )
 
     def latency_ms(self, name: str, prior_ms: float) -> float:
-        """Returns the recent latency, drawn towards `otherwise` as it fades."""
-        record = self._decayed(name)
-        return (record.latency_ms * record.weight + prior_ms) / (
-            record.weight + 1
+        """Returns the recent latency, which decays towards `prior_ms`."""
+        stats = self._decayed(name)
+        return (stats.latency_ms * stats.latency_weight + prior_ms) / (
+            stats.latency_weight + 1
         )
 
     def in_flight(self, name: str) -> int:
-        """Returns this daemon's own requests in flight."""
+        """Returns how many of this daemon's requests are in flight."""
         return self._decayed(name).in_flight
 
     def load(self, name: str) -> float:
-        """Returns running and waiting requests, the best estimate."""
-        record = self._decayed(name)
-        age = self._clock.now() - record.load_at
-        if record.load is None or age > LOAD_LIFETIME_MS:
-            return float(record.in_flight)
+        """Returns an estimate of the requests running and queued.
+
+        The load of other daemons is taken from the replica's last report, and
+        loses weight as the report ages.
+        """
+        stats = self._decayed(name)
+        age = self._clock.now() - stats.load_received_at
+        if stats.load is None or age > LOAD_LIFETIME_MS:
+            return float(stats.in_flight)
         others = max(
-            0, record.load.running + record.load.waiting - record.own_at_load
+            0,
+            stats.load.running + stats.load.waiting - stats.in_flight_at_load,
         )
-        return record.in_flight + others * (1 - age / LOAD_LIFETIME_MS)
+        return stats.in_flight + others * (1 - age / LOAD_LIFETIME_MS)
 
     def idle_ms(self, name: str) -> float:
-        """Returns how long ago a request was sent there."""
-        return self._clock.now() - self._decayed(name).sent_at
+        """Returns the time since a request was last sent there."""
+        return self._clock.now() - self._decayed(name).last_sent_at
 
-    def _decayed(self, name: str) -> _Record:
+    def _decayed(self, name: str) -> _ReplicaStats:
         now = self._clock.now()
-        record = self._records.get(name)
-        if record is None:
-            record = self._records[name] = _Record(at=now)
-            return record
-        if now > record.at:
-            keep = math.exp((record.at - now) / DECAY_MS)
-            record.good *= keep
-            record.bad *= keep
-            record.weight *= keep
-            record.at = now
-        return record
+        stats = self._stats.get(name)
+        if stats is None:
+            stats = self._stats[name] = _ReplicaStats(updated_at=now)
+            return stats
+        if now > stats.updated_at:
+            factor = math.exp((stats.updated_at - now) / DECAY_MS)
+            stats.successes *= factor
+            stats.failures *= factor
+            stats.latency_weight *= factor
+            stats.updated_at = now
+        return stats
 
     def remove_unknown(self, known_names: set[str]) -> None:
-        """Drops replicas that are gone and have nothing in flight."""
-        for name in list(self._records):
-            if name not in known_names and self._records[name].in_flight == 0:
-                del self._records[name]
+        """Removes replicas not in `known_names` with nothing in flight."""
+        for name in list(self._stats):
+            if name not in known_names and self._stats[name].in_flight == 0:
+                del self._stats[name]
--- a/cactusdyke/serving/in_flight.py
+++ b/cactusdyke/serving/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight, and their final answers at a planned stop."""
+"""Tracks requests in flight, and cancels them before a planned stop."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class InFlightRequest:
-    """One request that is being served.
+    """A request that is being served.
 
     Attributes:
         context: The request.
-        state: What its caller has got.
-        scope: Ends the work on it.
-        stopped: Whether it was ended as its daemon stops.
+        state: What its caller has received.
+        scope: Cancels the request.
+        stopped: Whether it was cancelled because of the stop.
     """
 
     context: ServingContext
@@ -39,13 +39,13 @@
     stopped: bool = False
 
     def stop(self) -> None:
-        """Ends the work, so that the caller gets a final answer."""
+        """Cancels the request, so that its caller gets a final answer."""
         self.stopped = True
         self.scope.cancel()
 
 
 class InFlightRequests:
-    """Ends each request that its daemon would leave without an answer."""
+    """Cancels requests that the stop would leave without an answer."""
 
     def __init__(
         self,
@@ -75,11 +75,11 @@
             self._requests.discard(request)
 
     async def end_before_stop(self) -> None:
-        """Ends requests that can't be served before the stop.
+        """Cancels requests that cannot be served before the stop.
 
         A request may wait for its stages or its replica until its own deadline,
-        which is seconds behind the end of the daemon. Cancelled with the daemon
-        it would end without any answer.
+        which can be seconds after the daemon has stopped. If it were cancelled
+        only as the daemon stops, its caller would get no answer.
         """
         while True:
             for request in tuple(self._requests):
--- a/cactusdyke/serving/request_failures.py
+++ b/cactusdyke/serving/request_failures.py
@@ -1,4 +1,4 @@
-"""The failures that requests end with, each true of the whole request."""
+"""Failures that end requests, covering all attempts of a request."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 RETRY_AFTER_MS = 300
 NOT_READY_RETRY_AFTER_MS = 500
 STOPPING_RETRY_AFTER_MS = 50
-"""Callers may wait a third of their time; a queue of a call or two is over by
-then."""
+"""Callers wait at most a third of their time before they try again; a queue of
+one or two calls has drained by then."""
 UNREAD_RETRY_AFTER_MS = {
     FailureKind.STOPPING: STOPPING_RETRY_AFTER_MS,
     FailureKind.OVERLOADED: RETRY_AFTER_MS,
@@ -24,22 +24,26 @@
 
 
 def for_unread_request(failure: Failure) -> Failure:
-    """Returns the refusal of what was not read, with a time to come back."""
+    """Returns the failure of a request that was not read, with retry delay."""
     retry_after_ms = UNREAD_RETRY_AFTER_MS.get(failure.kind)
     return attrs.evolve(failure, retry_after_ms=retry_after_ms)
 
 
 def stopping() -> Failure:
-    """Returns the refusal of a daemon that ends too soon."""
+    """Returns the refusal of a request that would not end before the stop."""
     return Failure(
         kind=FailureKind.STOPPING,
-        detail="this daemon ends before the request could",
+        detail="this daemon stops before the request could be completed",
         retry_after_ms=STOPPING_RETRY_AFTER_MS,
     )
 
 
 def for_whole_request(context: ServingContext, failure: Failure) -> Failure:
-    """Returns a failure that tells the truth about the whole request."""
+    """Returns the failure, adjusted to all attempts of the request.
+
+    If any attempt ran or may have run, the failure does not claim that the
+    request was not run.
+    """
     if not context.may_have_run:
         retry_after_ms = failure.retry_after_ms or RETRY_AFTER_MS
         return attrs.evolve(failure, retry_after_ms=retry_after_ms)
@@ -51,22 +55,22 @@
 
 
 def timed_out(context: ServingContext) -> Failure:
-    """Returns what ends a request whose time is over."""
+    """Returns the failure of a request whose deadline has passed."""
     if context.may_have_run:
         return Failure(
             kind=FailureKind.DEADLINE,
-            detail="no answer within the time that the request has",
+            detail="no answer before the request's deadline",
             ran=Ran.UNKNOWN,
         )
     return Failure(
         kind=FailureKind.OVERLOADED,
-        detail="the request could not be begun within the time that it has",
+        detail="the request could not be started before its deadline",
         retry_after_ms=RETRY_AFTER_MS,
     )
 
 
 def no_replica(context: ServingContext) -> Failure:
-    """Returns what ends a request that nobody can be sent."""
+    """Returns the failure of a request that no replica can be sent."""
     return for_whole_request(
         context,
         Failure(
@@ -80,7 +84,7 @@
 def attempts_exhausted(
     context: ServingContext, result: AttemptResult
 ) -> Failure:
-    """Returns what ends a request after its last attempt."""
+    """Returns the failure of a request after its last attempt."""
     return for_whole_request(
         context,
         Failure(
--- a/cactusdyke/serving/request_log.py
+++ b/cactusdyke/serving/request_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts how requests end, a line each."""
+"""Logs and counts how requests end, with one line per request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RequestLog:
-    """Tells of each request what decided how it ended."""
+    """Logs for each request how it ended, and what led to it."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._metrics = metrics
 
     def answered(self, context: ServingContext, state: StreamState) -> None:
-        """Logs and counts a request that was answered by a replica."""
+        """Logs and counts a request that a replica answered."""
         now = self._clock.now()
         arrived = context.request.arrived_at
         took_ms = now - arrived
@@ -66,7 +66,7 @@
         request_id: str,
         context: ServingContext | None,
     ) -> None:
-        """Logs and counts a request that ended with a failure of ours."""
+        """Logs and counts a request that ended with a failure."""
         took_ms = 0.0
         fields: dict[str, object] = {}
         if context is not None:
@@ -98,13 +98,13 @@
         )
 
     def caller_left(self, context: ServingContext, state: StreamState) -> None:
-        """Logs and counts a request whose caller left."""
+        """Logs and counts a request whose caller disconnected."""
         self._unfinished(
             events.Event.REQUEST_LEFT, "caller_left", context, state
         )
 
     def cut_by_stop(self, context: ServingContext, state: StreamState) -> None:
-        """Logs and counts a request that the end of this daemon cut."""
+        """Logs and counts a request that the daemon's stop interrupted."""
         self._unfinished(events.Event.REQUEST_CUT, "cut", context, state)
 
     def _unfinished(
@@ -131,11 +131,11 @@
 
 
 def _parts_ms(context: ServingContext, first_at: Instant) -> dict[str, int]:
-    """Returns how long each part of a request's way took, by service.
+    """Returns how long each part of a request took, by service.
 
     Args:
         context: The request.
-        first_at: When its first event, or whole answer, came; 0 if none did.
+        first_at: When its first event or complete answer arrived, 0 if none.
     """
     parts: dict[str, int] = {}
     for number, took_ms in context.stage_ms.items():
@@ -147,9 +147,9 @@
 
 
 def _results_by_service(context: ServingContext) -> dict[str, int]:
-    """Returns how many results were made for a request, by service."""
-    made: dict[str, int] = {}
+    """Returns how many results were computed for a request, by service."""
+    counts: dict[str, int] = {}
     for number, count in context.results_made.items():
         service = context.route.stages[number].service
-        made[service] = made.get(service, 0) + count
-    return made
+        counts[service] = counts.get(service, 0) + count
+    return counts
--- a/cactusdyke/serving/retry_budget.py
+++ b/cactusdyke/serving/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many arrivals beyond the first of each request a service may get."""
+"""Limits how many retries a service receives beyond first attempts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @attrs.frozen(kw_only=True)
 class RetryAllowance:
-    """What all daemons together may spend on one service.
+    """The retries that all daemons together may send to one service.
 
     Attributes:
-        ratio: Retries for each request.
-        slack: Retries on top, in each window.
-        window_ms: Length of the sliding window.
+        ratio: Retries allowed per request.
+        slack: Retries allowed in each window in addition.
+        window_ms: Length of the sliding window, in milliseconds.
     """
 
     ratio: float = 0.2
@@ -29,15 +29,16 @@
 
 
 SAFETY_FACTOR = 0.8
-"""Of the allowance; members that were just added are not counted yet."""
+"""Share of the allowance that is used: daemons that were just added are not
+counted yet."""
 
 
 class RetryBudget:
-    """This daemon's share of the allowance, by service.
+    """This daemon's share of the retry allowance of each service.
 
-    The share of the slack is one part in as many as there are daemons. Each
-    counts its own first sends and its own retries in a sliding window, so
-    the sum over all daemons keeps to the allowance without a message.
+    Each daemon uses an equal share of the slack, and counts its own requests
+    and retries in a sliding window. The sum over all daemons thus stays within
+    the allowance without any coordination.
     """
 
     def __init__(
@@ -54,16 +55,16 @@
         self._retries: dict[str, collections.deque[Instant]] = {}
 
     def record_request(self, service: str) -> None:
-        """Counts a request for a service."""
+        """Counts a new request for a service."""
         self._recent(self._requests, service).append(self._clock.now())
 
     def spend(self, service: str) -> bool:
-        """Returns whether a retry may be made, and counts it."""
+        """Returns whether a retry is within the budget, and counts it if so."""
         allowance = self._allowance()
-        own = allowance.ratio * len(self._recent(self._requests, service))
+        earned = allowance.ratio * len(self._recent(self._requests, service))
         share = allowance.slack / max(1, self._daemon_count())
         spent = self._recent(self._retries, service)
-        if len(spent) + 1 > SAFETY_FACTOR * (own + share):
+        if len(spent) + 1 > SAFETY_FACTOR * (earned + share):
             return False
         spent.append(self._clock.now())
         return True
--- a/cactusdyke/serving/retry_policy.py
+++ b/cactusdyke/serving/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request is sent once more, and which replicas may get it."""
+"""Decides whether a request is retried, and at which replicas."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
     from cactusdyke.serving.retry_budget import RetryBudget
 
 MAX_ATTEMPTS = 4
-"""Whatever a route allows: a request that failed so often fails again."""
+"""Upper bound on every route's own limit: a request that failed this often is
+likely to fail again."""
 
 
 class RetryPolicy:
-    """Decides on a request's next attempt from what its last ones brought."""
+    """Decides on a request's next attempt from the results of earlier ones."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         self._connection_share = connection_share
 
     def may_retry(self, context: ServingContext, result: AttemptResult) -> bool:
-        """Returns whether another attempt is made, and spends its budget."""
+        """Returns whether to retry; if so, takes it from the retry budget."""
         repeatable = (
             result.ran is Ran.NOT_RUN
             or context.route.repeat is not RepeatPolicy.AT_MOST_ONCE
@@ -68,7 +69,7 @@
         return True
 
     def can_fail_over(self, context: ServingContext, replica: Replica) -> bool:
-        """Returns whether another replica could take over from this one."""
+        """Returns whether another replica could be tried after this one."""
         sent_to = {*context.sent_to, replica.name}
         if len(sent_to) >= min(context.route.max_attempts, MAX_ATTEMPTS):
             return False
@@ -76,10 +77,10 @@
         return any(other.name not in sent_to for other in usable)
 
     def candidates(self, context: ServingContext) -> list[Replica]:
-        """Returns where the request may be sent now.
+        """Returns the replicas that the request may be sent to now.
 
         Once it was sent to as many replicas as its route allows, only those
-        among them remain.
+        replicas remain candidates.
         """
         usable = [
             replica
@@ -91,15 +92,15 @@
         return [r for r in usable if r.name in context.sent_to]
 
     def excluded(self, context: ServingContext) -> set[str]:
-        """Returns the engines that a placement must leave out."""
+        """Returns the names of engines that a placement must not use."""
         usable = self._deployment.usable(context.service)
         allowed = {r.name for r in self.candidates(context)}
-        barred = {r.name for r in usable} - allowed
+        excluded = {r.name for r in usable} - allowed
         failed = set(context.failed_at)
-        return barred if allowed <= failed else barred | failed
+        return excluded if allowed <= failed else excluded | failed
 
     def choose(self, context: ServingContext) -> Replica | None:
-        """Returns the replica that should answer soonest."""
+        """Returns the replica with the least expected cost, or None."""
         return balance.choose(
             self.candidates(context),
             self._health,
