--- a/cactusdyke/serving/attempt.py
+++ b/cactusdyke/serving/attempt.py
@@ -40,8 +40,8 @@
         body: The complete body of the answer, if it was read.
         delivered: Whether the caller has received the complete answer.
         sent: Whether any byte of the request was written to the connection.
-        broken: Whether the connection ended before the answer was
-            complete.
+        connection_broken: Whether the exchange failed before the answer was
+            complete, after a byte was sent.
     """
 
     ran: Ran
@@ -131,7 +131,7 @@
                     replica.address
                 ) as exchange:
                     await self._send(exchange, context, replica, handles, None)
-                    result = await self._read_whole(exchange, context)
+                    result = await self._read_answer(exchange, context)
             except ExchangeError as error:
                 return _from_exchange_error(error)
         if exchange is None or not exchange.sent:
@@ -220,7 +220,7 @@
         )
         await exchange.send(call.method, call.target, call.headers, call.body)
 
-    async def _read_whole(
+    async def _read_answer(
         self, exchange: Exchange, context: ServingContext
     ) -> AttemptResult:
         head = await exchange.head()
--- a/features/serving/front.feature
+++ b/features/serving/front.feature
@@ -1,49 +1,49 @@
-Feature: connections of callers end with an answer to what was read
+Feature: connections of callers end with an answer to each request read
 
-  Scenario: a request that comes in the moment of the end
-    # Guards against bytes that were there as an idle connection was closed.
-    Given a front whose answers come at once
-    When a request comes on a kept connection just as a stop closes it
+  Scenario: a request that arrives while an idle connection is closed
+    # Guards against dropping bytes that arrived as the connection was closed.
+    Given a front server whose answers are immediate
+    When a request arrives on an idle connection just as a stop closes it
     Then the request is answered and the connection ends
 
-  Scenario: a connection that is kept ends with its answer
-    # Guards against a stop that waits for connections to be idle for long.
-    Given a front whose answers take 300 ms
-    When it ends while an answer is under way that did not ask to leave
-    Then the answer is whole, and the front has ended within a second
+  Scenario: a keep-alive connection is closed after the answer in progress
+    # Guards against a stop that waits for the idle timeout of connections.
+    Given a front server whose answers take 300 ms
+    When it stops while an answer without "Connection: close" is in progress
+    Then the answer is complete, and the server has stopped within a second
 
-  Scenario: half a request behind an answer
-    # Guards against a part of a request that is dropped without a word.
-    Given a front whose answers take 300 ms
-    When half a request follows one whose answer comes after all is refused
+  Scenario: a partial request after a complete one
+    # Guards against a partly read request that is dropped without an answer.
+    Given a front server whose answers take 300 ms
+    When a partial request follows one answered after refusals have begun
     Then the first one is answered and the second one is refused
 
-  Scenario: an unfinished answer that a stop ends is reset
-    # Guards against a cut answer that looks complete to older callers.
-    Given a front whose answers never end
-    When it ends every connection after an answer has begun
+  Scenario: a connection with an answer that a stop interrupts is reset
+    # Guards against a truncated answer that looks complete to HTTP/1.0 callers.
+    Given a front server whose answers never end
+    When it aborts every connection after an answer has begun
     Then the caller's connection is reset
 
-  Scenario: an unfinished answer that an error ends is reset
-    # Guards against a cut answer that looks complete to older callers.
-    Given a front whose answers end in an error
-    When a caller asks for one
+  Scenario: a connection with an answer that an error interrupts is reset
+    # Guards against a truncated answer that looks complete to HTTP/1.0 callers.
+    Given a front server whose answers end in an error
+    When one caller sends a request
     Then the caller's connection is reset
 
-  Scenario: a caller that leaves in the middle of its answer
-    # Guards against logs that call it an error of the daemon.
-    Given a front whose answers are large
-    When a caller leaves in the middle of its answer
+  Scenario: a caller that disconnects in the middle of its answer
+    # Guards against logging the disconnect as an internal error.
+    Given a front server whose answers are large
+    When a caller disconnects in the middle of its answer
     Then no error is logged
 
-  Scenario: a HEAD that is refused
-    # Guards against a refusal that breaks on the body that it must not have.
-    Given a front whose answers come at once
-    When a HEAD comes with a body that is too large
-    Then it is refused with a head alone
+  Scenario: a HEAD request that is refused
+    # Guards against a refusal that fails because it must not have a body.
+    Given a front server whose answers are immediate
+    When a HEAD request arrives with a body that is too large
+    Then it is refused with a head and no body
 
-  Scenario: a caller that is accepted as the front ends, and is silent
-    # Guards against a silent connection that holds the end of a stop.
-    Given a front whose answers come at once
-    When a caller connects to a front that is ending and sends nothing
+  Scenario: a caller that connects during a stop and sends nothing
+    # Guards against a stop that waits for a connection without any request.
+    Given a front server whose answers are immediate
+    When a caller connects to a server that is stopping and sends nothing
     Then its connection ends within a second
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that are in flight as their daemon stops."""
+"""Steps for requests in flight while their daemon stops."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 @when("requests wait for stages, for a replica and for the end of a stream")
-def three_wait(context):
+def three_requests_wait(context):
     states = {
         "stages": ("", StreamState()),
         "replica": ("e1", StreamState()),
         "stream": ("e1", StreamState(head_sent=True)),
     }
-    context.ended_ms = {}
+    context.cancelled_ms = {}
 
     async def run():
         clock = EventLoopClock()
@@ -54,7 +54,7 @@
                 with requests.track(served, state, scope) as request:
                     await anyio.sleep_forever()
             assert request.stopped
-            context.ended_ms[name] = clock.now() - began
+            context.cancelled_ms[name] = clock.now() - began
 
         async with anyio.create_task_group() as tasks:
             for name, (asking, state) in states.items():
@@ -66,17 +66,19 @@
     run_virtual(run)
 
 
-def soon_after(ended_ms, due_ms):
-    return due_ms <= ended_ms <= due_ms + 2 * CHECK_INTERVAL_MS
+def is_soon_after(cancelled_ms, due_ms):
+    return due_ms <= cancelled_ms <= due_ms + 2 * CHECK_INTERVAL_MS
 
 
-@then("the first is ended while another attempt would not end in time")
+@then("the first is cancelled once an attempt would no longer end in time")
 def check_first(context):
     due_ms = ANSWERS_BY_MS - ATTEMPT_MS
-    assert soon_after(context.ended_ms["stages"], due_ms), context.ended_ms
+    assert is_soon_after(context.cancelled_ms["stages"], due_ms), (
+        context.cancelled_ms
+    )
 
 
-@then("the second is ended with the last answers, the third is not")
+@then("the second is cancelled at the time of the last answers, the third not")
 def check_others(context):
-    assert soon_after(context.ended_ms["replica"], ANSWERS_BY_MS)
-    assert "stream" not in context.ended_ms
+    assert is_soon_after(context.cancelled_ms["replica"], ANSWERS_BY_MS)
+    assert "stream" not in context.cancelled_ms
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of serving's decisions: all of them without a network."""
+"""Steps for the decisions of serving, without a network."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that is set by hand."""
+    """A clock that advances only when a test sets it."""
 
     def __init__(self):
         self.ms = 0.0
@@ -111,7 +111,7 @@
             route("two", "/a/b/c/"),
         ]
     )
-    asked = {
+    expected = {
         ("one", "/a/b/x"): "one/a/b/",
         ("one", "/a/b/"): "one/a/b/",
         ("one", "/a/bc"): "one/a/",
@@ -125,14 +125,14 @@
     }
     context.found = {
         key: (found.name if (found := table.find(*key)) else None)
-        for key in asked
+        for key in expected
     }
-    context.asked = asked
+    context.expected = expected
 
 
 @then("each finds the longest prefix of its own host, or none")
 def check_routes(context):
-    assert context.found == context.asked, context.found
+    assert context.found == context.expected, context.found
 
 
 @given("a deployment with version 7 in force")
@@ -168,9 +168,9 @@
 
 @when("customers of priority 0, 1 and of none ask on both")
 def ranks(context):
-    def rank(priority, one):
+    def rank(priority, route):
         customer = Customer(name="c", api_keys=frozenset(), priority=priority)
-        return context.deployment.rank(one, customer)
+        return context.deployment.rank(route, customer)
 
     context.ranks = {
         (priority, one.priority): rank(priority, one)
@@ -201,7 +201,7 @@
 
 
 @when("one of them reports that it drains")
-def drains(context):
+def report_drain(context):
     context.deployment.put_replica(
         replica("r1", born=5, state=ReplicaState.DRAINING)
     )
@@ -215,37 +215,37 @@
 
 
 @then("it may be used again once the list tells of a new start under its id")
-def check_reborn(context):
+def check_restarted(context):
     context.deployment.put_replica(replica("r1", born=9))
     names = {r.name for r in context.deployment.usable("plain")}
     assert names == {"r1", "r2"}, names
 
 
-def _spend_retries(believed_daemons):
+def _spend_retries(assumed_daemons):
     clock = ManualClock()
     allowance = RetryAllowance(ratio=0.2, slack=52, window_ms=10_000)
     budgets = [
         RetryBudget(
             clock=clock,
             allowance=lambda: allowance,
-            daemon_count=lambda: believed_daemons,
+            daemon_count=lambda: assumed_daemons,
         )
         for _ in range(6)
     ]
-    firsts, retries = [], []
+    requests, retries = [], []
     for step in range(6_000):
         clock.ms = step * 10.0
         for budget in budgets:
             if step % 20 == 0:
                 budget.record_request("service")
-                firsts.append(clock.ms)
+                requests.append(clock.ms)
             if budget.spend("service"):
                 retries.append(clock.ms)
     worst = -1e9
     for end in range(0, 60_001, 250):
-        inside = sum(end - 10_000 < at <= end for at in retries)
-        asked = sum(end - 10_000 < at <= end for at in firsts)
-        worst = max(worst, inside - (0.2 * asked + 52))
+        retried = sum(end - 10_000 < at <= end for at in retries)
+        arrived = sum(end - 10_000 < at <= end for at in requests)
+        worst = max(worst, retried - (0.2 * arrived + 52))
     return worst
 
 
@@ -276,16 +276,18 @@
         chosen = collections.Counter()
         for _ in range(count):
             clock.ms += 25.0
-            one = balance.choose(
+            selected = balance.choose(
                 replicas, health, rng=rng, local_data_centre="here"
             )
-            chosen[one.name] += 1
-            health.record_start(one.name)
-            health.record_end(one.name)
-            if one.name == "r1" and rng.random() < failing:
-                health.record_failure(one.name)
+            chosen[selected.name] += 1
+            health.record_start(selected.name)
+            health.record_end(selected.name)
+            if selected.name == "r1" and rng.random() < failing:
+                health.record_failure(selected.name)
             else:
-                health.record_success(one.name, 90.0 + rng.uniform(-30, 30))
+                health.record_success(
+                    selected.name, 90.0 + rng.uniform(-30, 30)
+                )
         return chosen["r1"] / count
 
     serve(100, 0.0)
@@ -417,8 +419,8 @@
             chosen.append(
                 placer.place("y", prompt(subject), engines(5), ENGINE).name
             )
-        homes = EnginePlacer(clock=ManualClock())
-        alone = homes.place("z", prompt(subject), engines(5), ENGINE).name
+        fresh = EnginePlacer(clock=ManualClock())
+        alone = fresh.place("z", prompt(subject), engines(5), ENGINE).name
         context.same += chosen[0] == chosen[1] == alone
 
 
@@ -446,7 +448,7 @@
 
 
 class ThreeDaemons(PeerDaemons):
-    """Daemons whose liveness nobody doubts."""
+    """Three daemons that are all considered live."""
 
     def all(self):
         return tuple(
@@ -476,7 +478,7 @@
 
 
 @when("it says that another one decides by now")
-def says_moved(context):
+def redirect(context):
     context.other = "d3" if context.usual == "d2" else "d2"
     context.deciders.take_moved(
         "service", [context.other, f"{context.other}:1", "here"]
@@ -484,7 +486,7 @@
 
 
 @then("that one is asked, until gossip has had its time")
-def check_moved(context):
+def check_redirected(context):
     assert context.deciders.first("service").name == context.other
     assert context.deciders.by_members("service").name == context.usual
     context.clock.ms += 1_600.0
@@ -492,8 +494,8 @@
 
 
 @then("not if it is silent, and not if it is this daemon itself")
-def check_not_moved(context):
-    says_moved(context)
+def check_not_redirected(context):
+    redirect(context)
     peer = context.deciders.first("service")
     context.watch.mark_silent(peer, detail="test")
     assert context.deciders.first("service").name != context.other
@@ -503,7 +505,7 @@
 
 
 class FakeDispatch:
-    """Stands for the daemons that decide for stages."""
+    """A dispatch with given backlogs, which records what it runs and frees."""
 
     def __init__(self, **backlogs_ms):
         self._backlogs_ms = backlogs_ms
@@ -586,7 +588,7 @@
 
 
 @then("they belong here")
-def check_belong(context):
+def check_data_centre(context):
     assert context.group.data_centre == "here"
 
 
@@ -661,7 +663,7 @@
     assert context.results.last() == [3]
 
 
-def _desk(max_connections):
+def _deployment_with_desk(max_connections):
     deployment = Deployment(clock=ManualClock())
     desk = ServiceSpec(name="desk", max_connections=max_connections)
     deployment.apply(
@@ -681,13 +683,15 @@
 def bounded_replica(context):
     context.health = ReplicaHealth(clock=ManualClock())
     context.share = ConnectionShare(
-        deployment=_desk(96), health=context.health, daemon_count=lambda: 6
+        deployment=_deployment_with_desk(96),
+        health=context.health,
+        daemon_count=lambda: 6,
     )
     context.bounded = replica("r1", "desk")
 
 
 @when("twelve requests are under way there from one daemon")
-def twelve_under_way(context):
+def twelve_in_flight(context):
     for _ in range(12):
         context.health.record_start("r1")
 
@@ -702,16 +706,16 @@
 
 
 @then("a daemon that knows no limit, or of no other daemon, still sends one")
-def check_least(context):
-    crowd = ConnectionShare(
-        deployment=_desk(3),
+def check_minimum(context):
+    small_share = ConnectionShare(
+        deployment=_deployment_with_desk(3),
         health=ReplicaHealth(clock=ManualClock()),
         daemon_count=lambda: 75,
     )
-    assert crowd.has_capacity(context.bounded)
-    unknown = ConnectionShare(
+    assert small_share.has_capacity(context.bounded)
+    unlimited = ConnectionShare(
         deployment=Deployment(clock=ManualClock()),
         health=context.health,
         daemon_count=lambda: 6,
     )
-    assert unknown.has_capacity(context.bounded)
+    assert unlimited.has_capacity(context.bounded)
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -1,4 +1,4 @@
-"""Steps of TCP streams and connections that are kept."""
+"""Steps for TCP streams and keep-alive connections."""
 
 from __future__ import annotations
 
@@ -20,58 +20,58 @@
 
 @given("a connection between two streams")
 def two_streams(context):
-    async def pair(story):
+    async def run_pair(scenario):
         listener = TcpListener(host="127.0.0.1", port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with listener:
-            near = await tcp_stream.connect_tcp("127.0.0.1", port)
-            far = await listener.accept()
-            async with near, far:
-                await story(near, far)
+            local = await tcp_stream.connect_tcp("127.0.0.1", port)
+            remote = await listener.accept()
+            async with local, remote:
+                await scenario(local, remote)
 
-    context.play = lambda story: anyio.run(pair, story)
+    context.run = lambda scenario: anyio.run(run_pair, scenario)
 
 
 @when("one side sends 8 MB that the other one does not receive")
 def send_large(context):
-    async def story(near, far):
+    async def scenario(local, remote):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(near.send, LARGE)
+            tasks.start_soon(local.send, LARGE)
             await anyio.sleep(0.2)
-            context.held = far._protocol.unread
+            context.buffered_bytes = remote._protocol.unread
             received = bytearray()
             while len(received) < len(LARGE):
-                received += await far.receive()
+                received += await remote.receive()
             context.received = bytes(received)
 
-    context.play(story)
+    context.run(scenario)
 
 
 @then("under 256 KB of it are held, and all of it comes once it is received")
-def check_held(context):
-    assert 0 < context.held < 256 * 1024, context.held
+def check_buffered(context):
+    assert 0 < context.buffered_bytes < 256 * 1024, context.buffered_bytes
     assert context.received == LARGE
 
 
 @when("one side waits to receive as the connection {ends}")
 def waits(context, ends):
-    async def story(near, far):
+    async def scenario(local, remote):
         async def end():
             await anyio.sleep(0.05)
             match ends:
                 case "is ended in order":
-                    await far.send_eof()
+                    await remote.send_eof()
                 case "is reset":
-                    sockets.reset_on_close(far)
-                    await far.aclose()
+                    sockets.reset_on_close(remote)
+                    await remote.aclose()
                 case _:
-                    await near.aclose()
+                    await local.aclose()
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(end)
             with anyio.fail_after(2):
                 try:
-                    await near.receive()
+                    await local.receive()
                 except (
                     anyio.EndOfStream,
                     anyio.BrokenResourceError,
@@ -79,7 +79,7 @@
                 ) as error:
                     context.error = type(error).__name__
 
-    context.play(story)
+    context.run(scenario)
 
 
 @then("the wait ends with {error}")
@@ -89,20 +89,20 @@
 
 @when("a wait is cancelled just as bytes come")
 def cancelled(context):
-    async def story(near, far):
+    async def scenario(local, remote):
         with anyio.move_on_after(0.05) as scope:
-            await near.receive()
+            await local.receive()
         assert scope.cancelled_caught
-        await far.send(b"first")
+        await remote.send(b"first")
         with anyio.CancelScope() as scope:
             await anyio.sleep(0.05)
             scope.cancel()
             await anyio.lowlevel.checkpoint()
-        await far.send(b"second")
+        await remote.send(b"second")
         await anyio.sleep(0.05)
-        context.received = await near.receive() + await near.receive()
+        context.received = await local.receive() + await local.receive()
 
-    context.play(story)
+    context.run(scenario)
 
 
 @then("the next one receives them")
@@ -111,7 +111,7 @@
 
 
 @given("a server that sends a second answer behind the first")
-def doubled_answers(context):
+def double_answers(context):
     context.connections = 0
 
     async def serve(stream):
@@ -127,16 +127,16 @@
                 await anyio.sleep(0.02)
                 await stream.send(answer.replace(b"200", b"201"))
 
-    async def guarded(stream):
+    async def serve_until_closed(stream):
         with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError):
             await serve(stream)
 
-    context.serve = guarded
+    context.serve = serve_until_closed
 
 
 @when("two requests follow one another")
 def two_requests(context):
-    async def story():
+    async def scenario():
         listener = TcpListener(host="127.0.0.1", port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with (
@@ -158,7 +158,7 @@
                 await anyio.sleep(0.05)
             tasks.cancel_scope.cancel()
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
 @then("the second one gets its own answer, on another connection")
@@ -169,7 +169,7 @@
 
 @when("a listener is closed while it waits for a caller")
 def close_listener(context):
-    async def story():
+    async def scenario():
         listener = TcpListener(host="127.0.0.1", port=0)
         raw = listener.extra(anyio.abc.SocketAttribute.raw_socket)
         assert isinstance(raw, socket.socket)
@@ -187,7 +187,7 @@
                 await anyio.sleep(0.05)
                 await listener.aclose()
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
 @then("its wait ends at once")
--- a/features/support/serving_values.py
+++ b/features/support/serving_values.py
@@ -1,4 +1,4 @@
-"""Values that tests of serving begin with."""
+"""Default values for tests of serving."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class NoConnections(BackendConnections):
-    """Nobody answers."""
+    """Refuses every connection attempt."""
 
     def connect(self, address):
-        raise ExchangeError(f"{address}: nobody there", sent=False)
+        raise ExchangeError(f"{address}: connection refused", sent=False)
