--- a/cactusdyke/serving/forwarder.py
+++ b/cactusdyke/serving/forwarder.py
@@ -369,7 +369,7 @@
             for data_centre, size in inputs.items()
             if data_centre != replica.data_centre
         )
-        succeeded = False
+        attempt_succeeded = False
         began = self._clock.now()
         context.engine_asked_at = began
         self._health.record_start(replica.name)
@@ -394,7 +394,7 @@
                     )
                     span.set_attribute("detail", result.detail)
                 tasks.cancel_scope.cancel()
-            succeeded = result.verdict is not None and (
+            attempt_succeeded = result.verdict is not None and (
                 result.verdict.succeeded
             )
             self._record_attempt(
@@ -402,13 +402,13 @@
             )
             if result.delivered:
                 return None, result
-            if succeeded and result.body is not None:
+            if attempt_succeeded and result.body is not None:
                 return await self._deliver(context, result, reply), None
             return None, result
         finally:
             self._health.record_end(replica.name)
             if placed is not None:
-                self._dispatch.ended(placed, failed=not succeeded)
+                self._dispatch.ended(placed, failed=not attempt_succeeded)
 
     async def _free_inputs_after_fetch(
         self, context: ServingContext, results: StageResults
@@ -443,11 +443,11 @@
         on_first_event: object,
     ) -> AttemptResult:
         remaining_ms = context.first_by - self._clock.now()
-        can_fail_over = self._retry_policy.can_fail_over(context, replica)
+        fail_over_possible = self._retry_policy.can_fail_over(context, replica)
         if not context.route.streaming:
             may_repeat = (
                 context.route.repeat is RepeatPolicy.IDEMPOTENT
-                and can_fail_over
+                and fail_over_possible
             )
             return await self._attempts.fetch(
                 context,
@@ -458,7 +458,8 @@
                 else remaining_ms,
             )
         may_repeat = (
-            context.route.repeat is RepeatPolicy.RESUMABLE and can_fail_over
+            context.route.repeat is RepeatPolicy.RESUMABLE
+            and fail_over_possible
         )
         return await self._attempts.stream(
             context,
--- a/cactusdyke/serving/retry_budget.py
+++ b/cactusdyke/serving/retry_budget.py
@@ -19,7 +19,7 @@
 
     Attributes:
         ratio: Retries allowed per request.
-        slack: Retries allowed in each window in addition.
+        slack: Additional retries allowed in each window.
         window_ms: Length of the sliding window, in milliseconds.
     """
 
--- a/cactusdyke/serving/retry_policy.py
+++ b/cactusdyke/serving/retry_policy.py
@@ -46,7 +46,10 @@
         self._connection_share = connection_share
 
     def may_retry(self, context: ServingContext, result: AttemptResult) -> bool:
-        """Returns whether to retry; if so, takes it from the retry budget."""
+        """Returns whether to retry, and charges a retry to the budget.
+
+        An attempt that sent nothing is retried without a charge.
+        """
         repeatable = (
             result.ran is Ran.NOT_RUN
             or context.route.repeat is not RepeatPolicy.AT_MOST_ONCE
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -29,7 +29,7 @@
             async with local, remote:
                 await scenario(local, remote)
 
-    context.run = lambda scenario: anyio.run(run_pair, scenario)
+    context.run_scenario = lambda scenario: anyio.run(run_pair, scenario)
 
 
 @when("one side sends 8 MB that the other one does not receive")
@@ -44,7 +44,7 @@
                 received += await remote.receive()
             context.received = bytes(received)
 
-    context.run(scenario)
+    context.run_scenario(scenario)
 
 
 @then("under 256 KB of it are held, and all of it comes once it is received")
@@ -79,7 +79,7 @@
                 ) as error:
                     context.error = type(error).__name__
 
-    context.run(scenario)
+    context.run_scenario(scenario)
 
 
 @then("the wait ends with {error}")
@@ -102,7 +102,7 @@
         await anyio.sleep(0.05)
         context.received = await local.receive() + await local.receive()
 
-    context.run(scenario)
+    context.run_scenario(scenario)
 
 
 @then("the next one receives them")
