--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -32,7 +32,7 @@
     context.run_scenario = lambda scenario: anyio.run(run_pair, scenario)
 
 
-@when("one side sends 8 MB that the other one does not receive")
+@when("one side sends 8 MB that the other side does not read")
 def send_large(context):
     async def scenario(local, remote):
         async with anyio.create_task_group() as tasks:
@@ -47,19 +47,19 @@
     context.run_scenario(scenario)
 
 
-@then("under 256 KB of it are held, and all of it comes once it is received")
+@then("under 256 KB are buffered, and all of it arrives once it is read")
 def check_buffered(context):
     assert 0 < context.buffered_bytes < 256 * 1024, context.buffered_bytes
     assert context.received == LARGE
 
 
-@when("one side waits to receive as the connection {ends}")
+@when("one side waits to receive while the connection {ends}")
 def waits(context, ends):
     async def scenario(local, remote):
         async def end():
             await anyio.sleep(0.05)
             match ends:
-                case "is ended in order":
+                case "is shut down":
                     await remote.send_eof()
                 case "is reset":
                     sockets.reset_on_close(remote)
@@ -87,7 +87,7 @@
     assert context.error == error, context.error
 
 
-@when("a wait is cancelled just as bytes come")
+@when("a wait is cancelled just as bytes arrive")
 def cancelled(context):
     async def scenario(local, remote):
         with anyio.move_on_after(0.05) as scope:
@@ -110,7 +110,7 @@
     assert context.received == b"firstsecond", context.received
 
 
-@given("a server that sends a second answer behind the first")
+@given("a server that sends a second answer after the first")
 def double_answers(context):
     context.connections = 0
 
@@ -167,7 +167,7 @@
     assert context.connections == 2
 
 
-@when("a listener is closed while it waits for a caller")
+@when("a listener is closed while it waits for a connection")
 def close_listener(context):
     async def scenario():
         listener = TcpListener(host="127.0.0.1", port=0)
