--- a/bench/naive/collectors.py
+++ b/bench/naive/collectors.py
@@ -18,7 +18,7 @@
 
     def assigned(self):
         """Returns every replica of the data centre."""
-        return list(self._own_list().replicas)
+        return list(self._local_replicas().replicas)
 
     def _due(self):
         return self.assigned()
@@ -44,7 +44,7 @@
                     Reading(
                         running=0,
                         waiting=0,
-                        model=None,
+                        model_index=None,
                         measured_at=self._clock.now(),
                     ),
                 )
--- a/bench/naive/no_hints.py
+++ b/bench/naive/no_hints.py
@@ -11,7 +11,7 @@
 class NoHintsRouter(Router):
     """Chooses by load alone."""
 
-    def _warm(
+    def _prefer_cached(
         self,
         index: PoolIndex,
         prefix: str,
--- a/bench/naive/report_routing.py
+++ b/bench/naive/report_routing.py
@@ -8,19 +8,19 @@
 from cactusdyke.application import Application, ExtensionMetadata
 from cactusdyke.clock import Instant
 from cactusdyke.configuration.model import BackendServer, Pool
-from cactusdyke.routing.load_book import LoadBook
+from cactusdyke.routing.load_tracker import LoadTracker
 from cactusdyke.routing.messages import LoadReport
 from cactusdyke.routing.router import Router
 
 
-class _ReportBook(LoadBook):
+class _ReportBook(LoadTracker):
     """Keeps what was reported last, and nothing of its age."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
         self.reported: dict[str, int] = {}
 
-    def report(
+    def record_report(
         self, server_name: str, report: LoadReport, received_at: Instant
     ) -> None:
         """Takes in a report."""
--- a/bench/serving/case_i_customer_subsets.py
+++ b/bench/serving/case_i_customer_subsets.py
@@ -143,9 +143,9 @@
         self.counts["sent"] += 1
         if admitted:
             hints = self.hints[daemon]
-            self.counts["warm"] += bool(hints.places(prefix))
+            self.counts["warm"] += bool(hints.likely_servers(prefix))
             self.counts["admitted"] += 1
-            hints.went(prefix, "engine")
+            hints.record_sent(prefix, "engine")
         current = self.current(daemon, name)
         if current != self.addresses:
             self.counts["corrected"] += 1
--- a/cactusdyke/limits/pools.py
+++ b/cactusdyke/limits/pools.py
@@ -84,7 +84,7 @@
             if not self._pool(name).fits(claim.part(name))
         ]
         for name in short:
-            self._router.mark_short(name)
+            self._router.mark_saturated(name)
         return not short
 
     def enter(self, claim: Claim) -> None:
--- a/cactusdyke/load/__init__.py
+++ b/cactusdyke/load/__init__.py
@@ -37,7 +37,7 @@
         client=app.service("control_client", ControlClient),
         members=members,
         departures=departures,
-        load_book=router.load,
+        load_tracker=router.load,
         configuration=lambda: in_force.current,
     )
     app.add_service("load", collector)
--- a/cactusdyke/load/aggregates.py
+++ b/cactusdyke/load/aggregates.py
@@ -78,9 +78,9 @@
             for key, aggregate in self._others.items()
             if aggregate.measured_at >= oldest
         }
-        return [*self.own(), *self._others.values()]
+        return [*self.local(), *self._others.values()]
 
-    def own(self) -> list[Aggregate]:
+    def local(self) -> list[Aggregate]:
         """Returns the aggregates of this daemon's data centre."""
         sums: dict[tuple[str, str], list[int]] = {}
         oldest = self._clock.now()
@@ -89,10 +89,10 @@
             if reading is None or self._is_old(reading.measured_at):
                 continue
             model = ""
-            if reading.model is not None and reading.model < len(
+            if reading.model_index is not None and reading.model_index < len(
                 replica.models
             ):
-                model = replica.models[reading.model]
+                model = replica.models[reading.model_index]
             total = sums.setdefault((replica.pool, model), [0, 0, 0])
             total[0] += 1
             total[1] += reading.running
@@ -117,7 +117,7 @@
             return None
         known = list(self._others.values())
         if receiver.data_centre != self._data_centre:
-            known += self.own()
+            known += self.local()
         known = [a for a in known if a.data_centre != receiver.data_centre]
         if not known:
             return None
--- a/cactusdyke/load/collector.py
+++ b/cactusdyke/load/collector.py
@@ -24,7 +24,7 @@
     from cactusdyke.load.replicas import DataCentreReplicas, Replica
     from cactusdyke.membership.control_client import ControlClient
     from cactusdyke.membership.members import Members
-    from cactusdyke.routing.load_book import LoadBook
+    from cactusdyke.routing.load_tracker import LoadTracker
 
 LOAD_PATH = "/v1/load"
 READ_INTERVAL_MS = 1_000.0
@@ -48,14 +48,14 @@
         client: ControlClient,
         members: Members,
         departures: Departures,
-        load_book: LoadBook,
+        load_tracker: LoadTracker,
         configuration: Callable[[], Configuration],
     ) -> None:
         self._clock = clock
         self._client = client
         self._members = members
         self._departures = departures
-        self._load_book = load_book
+        self._load_book = load_tracker
         self._configuration = configuration
         self._data_centre = members.own.data_centre
         self._lists: dict[str, DataCentreReplicas] = {}
@@ -66,13 +66,13 @@
         self.readings = Readings(
             clock=clock,
             data_centre=self._data_centre,
-            replicas=self._own_list,
+            replicas=self._local_replicas,
             sink=self._report,
         )
         self.aggregates = Aggregates(
             clock=clock,
             data_centre=self._data_centre,
-            replicas=self._own_list,
+            replicas=self._local_replicas,
             readings=self.readings,
         )
         members.ride("load", self.readings)
@@ -108,7 +108,7 @@
         """Reads a few replicas each interval until it is cancelled."""
         while True:
             began = self._clock.now()
-            self.readings.forget_removed()
+            self.readings.drop_removed()
             async with anyio.create_task_group() as tasks:
                 for replica in self._due():
                     tasks.start_soon(self._read, replica)
@@ -140,14 +140,14 @@
         if name != replica.server.name:
             return
         if value.get("leaving"):
-            self._departures.leaves(replica.server.name)
+            self._departures.mark_leaving(replica.server.name)
         model = value.get("model")
         self.readings.add(
             replica.server.name,
             Reading(
                 running=int(value["running"]),
                 waiting=int(value["waiting"]),
-                model=(
+                model_index=(
                     replica.models.index(model)
                     if model in replica.models
                     else None
@@ -164,9 +164,9 @@
             waiting=reading.waiting,
             age_ms=now - reading.measured_at,
         )
-        self._load_book.report(name, report, now)
+        self._load_book.record_report(name, report, now)
 
-    def _own_list(self) -> DataCentreReplicas:
+    def _local_replicas(self) -> DataCentreReplicas:
         self._all_lists()
         known = self._lists.get(self._data_centre)
         if known is None:
--- a/cactusdyke/load/departures.py
+++ b/cactusdyke/load/departures.py
@@ -73,7 +73,7 @@
         self._read_at: Instant = -math.inf
         members.ride("leaving", self)
 
-    def leaves(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Notes that a backend server leaves and tells other daemons."""
         self._take(name, self._clock.now())
 
@@ -82,7 +82,7 @@
         interval = READ_INTERVAL_MS
         while True:
             for name in self._router.take_refusals():
-                self.leaves(name)
+                self.mark_leaving(name)
             self._forget_old()
             now = self._clock.now()
             if now - self._read_at >= interval and self._is_reader():
@@ -156,9 +156,9 @@
         by_address: dict[str, str],
     ) -> None:
         if host.name in by_name:
-            self.leaves(host.name)
+            self.mark_leaving(host.name)
         elif host.address in by_address:
-            self.leaves(by_address[host.address])
+            self.mark_leaving(by_address[host.address])
 
     def _servers(self) -> tuple[set[str], dict[str, str]]:
         servers = [
--- a/cactusdyke/load/readings.py
+++ b/cactusdyke/load/readings.py
@@ -37,7 +37,7 @@
 
     running: int
     waiting: int
-    model: int | None
+    model_index: int | None
     measured_at: Instant
 
 
@@ -82,9 +82,9 @@
         self._readings[name] = reading
         self._sink(name, reading)
 
-    def forget_removed(self) -> None:
+    def drop_removed(self) -> None:
         """Drops replicas that the configuration no longer names."""
-        places = self._replicas().places
+        places = self._replicas().positions
         for name in [n for n in self._readings if n not in places]:
             del self._readings[name]
 
@@ -98,7 +98,7 @@
         now = self._clock.now()
         data = bytearray(b"\xff" * (BYTES_A_REPLICA * len(replicas.replicas)))
         for name, reading in self._readings.items():
-            place = replicas.places.get(name)
+            place = replicas.positions.get(name)
             age = math.ceil((now - reading.measured_at) / AGE_STEP_MS)
             if place is None or age >= MAX_BYTE:
                 continue
@@ -107,7 +107,9 @@
                 (
                     min(reading.running, MAX_BYTE),
                     min(reading.waiting, MAX_BYTE),
-                    MAX_BYTE if reading.model is None else reading.model,
+                    MAX_BYTE
+                    if reading.model_index is None
+                    else reading.model_index,
                     age,
                 )
             )
@@ -134,7 +136,7 @@
                 Reading(
                     running=running,
                     waiting=waiting,
-                    model=None if model == MAX_BYTE else model,
+                    model_index=None if model == MAX_BYTE else model,
                     measured_at=now - age * AGE_STEP_MS,
                 ),
             )
--- a/cactusdyke/load/replicas.py
+++ b/cactusdyke/load/replicas.py
@@ -36,7 +36,7 @@
     """
 
     replicas: tuple[Replica, ...]
-    places: dict[str, int]
+    positions: dict[str, int]
     key: str
 
 
@@ -56,7 +56,7 @@
     names = " ".join(f"{r.server.name}:{','.join(r.models)}" for r in replicas)
     return DataCentreReplicas(
         replicas=tuple(replicas),
-        places={r.server.name: i for i, r in enumerate(replicas)},
+        positions={r.server.name: i for i, r in enumerate(replicas)},
         key=xxhash.xxh32_hexdigest(names.encode()),
     )
 
--- a/cactusdyke/orders/wiring.py
+++ b/cactusdyke/orders/wiring.py
@@ -37,4 +37,4 @@
 
     def mark(self, name: str) -> None:
         """Asks all daemons to send no work, for half a minute."""
-        self._departures.leaves(name)
+        self._departures.mark_leaving(name)
--- a/cactusdyke/pipeline/attempts.py
+++ b/cactusdyke/pipeline/attempts.py
@@ -126,7 +126,9 @@
     ) -> None:
         """Hands a report that rode on an answer to the load book."""
         if report is not None:
-            self._router.load.report(server.name, report, self._clock.now())
+            self._router.load.record_report(
+                server.name, report, self._clock.now()
+            )
 
     @contextlib.contextmanager
     def account(
@@ -173,21 +175,21 @@
 
     def _succeeded(self, record: AttemptRecord, took_ms: float) -> None:
         work, server = record.work, record.server
-        self._router.succeeded(server)
+        self._router.record_success(server)
         self._budgets.succeeded(work.pool.name)
         if record.call.resume_from:
             return
         seen_ms = took_ms if record.typical_ms is None else record.typical_ms
         typical = self._timings.quantile(_pace(record), timings.TYPICAL)
         if typical:
-            self._router.speed.observe(server.name, seen_ms / typical)
+            self._router.slowdown.observe(server.name, seen_ms / typical)
         self._timings.record(_pace(record), seen_ms)
         if record.typical_ms is not None:
             self._timings.record(work.timing, took_ms)
 
     def _failed(self, record: AttemptRecord, failure: Failure) -> None:
         work, server, call = record.work, record.server, record.call
-        self._router.failed(work.pool, server, failure)
+        self._router.record_failure(work.pool, server, failure)
         dropped = failure.kind is FailureKind.BROKEN_ANSWER
         if dropped:
             self._metrics.dropped_answers.labels(work.pool.name).inc()
--- a/cactusdyke/pipeline/retries.py
+++ b/cactusdyke/pipeline/retries.py
@@ -119,13 +119,13 @@
         # The late attempt is cancelled if it loses, so how slow it would have
         # been is never seen. Without a word to the speed book the straggler
         # would be chosen, and hedged, for ever.
-        self._router.speed.observe(late.name, LATE_RATIO)
+        self._router.slowdown.observe(late.name, LATE_RATIO)
         weight = work.context.configuration.policy.attainment_weight
         pool = work.pool.name
         budget = self._budgets.hedges(pool)
         # While requests wait to begin, a hedge takes the slot of one that has
         # no other, and what it was to replace goes on running.
-        if budget.balance < 1 or self._router.is_short(pool):
+        if budget.balance < 1 or self._router.is_saturated(pool):
             self._metrics.hedges.labels(pool, "refused").inc()
             return None
         server = self._router.choose(
--- a/cactusdyke/routing/ejection.py
+++ b/cactusdyke/routing/ejection.py
@@ -13,10 +13,10 @@
 
 FAILURES_TO_EJECT = 2
 FIRST_EJECTION_MS = 1_000.0
-LONGEST_EJECTION_MS = 32_000.0
-PROBE_LIFETIME_MS = 10_000.0
-GOOD_TIME_MS = 60_000.0
-MAX_SHARE_OF_POOL = 0.5
+MAX_EJECTION_MS = 32_000.0
+PROBE_TIMEOUT_MS = 10_000.0
+HEALTHY_RESET_MS = 60_000.0
+MAX_EJECTED_SHARE = 0.5
 
 
 @attrs.define(kw_only=True)
@@ -48,7 +48,7 @@
         self._records: dict[str, _Record] = {}
         self._out: dict[str, set[str]] = {}
 
-    def is_out(self, server_name: str) -> bool:
+    def is_ejected(self, server_name: str) -> bool:
         """Returns whether a backend server may not be chosen now."""
         record = self._records.get(server_name)
         if record is None or not record.pool:
@@ -56,13 +56,13 @@
         now = self._clock.now()
         return now < record.until or now < record.probing_until
 
-    def chosen(self, server_name: str) -> None:
+    def record_choice(self, server_name: str) -> None:
         """Notes a choice; that of an ejected one is its only probe."""
         record = self._records.get(server_name)
         if record is not None and record.pool:
-            record.probing_until = self._clock.now() + PROBE_LIFETIME_MS
+            record.probing_until = self._clock.now() + PROBE_TIMEOUT_MS
 
-    def succeeded(self, server_name: str) -> None:
+    def record_success(self, server_name: str) -> None:
         """Notes a success, which lets an ejected one back in."""
         record = self._records.get(server_name)
         if record is None:
@@ -74,10 +74,12 @@
             record.pool = ""
             record.probing_until = 0.0
             record.returned_at = now
-        elif now - record.returned_at > GOOD_TIME_MS:
+        elif now - record.returned_at > HEALTHY_RESET_MS:
             del self._records[server_name]
 
-    def failed(self, server_name: str, *, pool: str, pool_size: int) -> bool:
+    def record_failure(
+        self, server_name: str, *, pool: str, pool_size: int
+    ) -> bool:
         """Notes a failure; returns whether it took the server out."""
         record = self._records.setdefault(server_name, _Record())
         record.failures += 1
@@ -93,16 +95,16 @@
         # A fault on this daemon's side makes every server of a pool fail.
         # Ejecting them all would turn a brown-out into an outage, so at least
         # half of the pool always stays.
-        if len(out) + 1 > pool_size * MAX_SHARE_OF_POOL:
+        if len(out) + 1 > pool_size * MAX_EJECTED_SHARE:
             return False
         out.add(server_name)
         record.pool = pool
         self._lengthen(record)
         return True
 
-    def forget_old(self) -> None:
+    def drop_stale(self) -> None:
         """Drops records of backend servers that are no longer used."""
-        oldest = self._clock.now() - GOOD_TIME_MS
+        oldest = self._clock.now() - HEALTHY_RESET_MS
         for name, record in list(self._records.items()):
             if max(record.until, record.returned_at) < oldest:
                 self._out.get(record.pool, set()).discard(name)
@@ -111,6 +113,6 @@
     def _lengthen(self, record: _Record) -> None:
         time_out = FIRST_EJECTION_MS * 2**record.ejections
         record.until = self._clock.now() + time_out
-        if time_out < LONGEST_EJECTION_MS:
+        if time_out < MAX_EJECTION_MS:
             record.ejections += 1
         record.probing_until = 0.0
--- a/cactusdyke/routing/load_book.py
+++ b/cactusdyke/routing/load_tracker.py
@@ -38,7 +38,7 @@
     touched_at: Instant = 0.0
 
 
-class LoadBook:
+class LoadTracker:
     """Combines last reports, their age and own requests since."""
 
     def __init__(self, *, clock: Clock) -> None:
@@ -48,15 +48,15 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def started(self, server_name: str) -> None:
+    def record_start(self, server_name: str) -> None:
         """Notes that an own request is in flight."""
         self._change(server_name, 1)
 
-    def ended(self, server_name: str) -> None:
+    def record_end(self, server_name: str) -> None:
         """Notes that an own request is no longer in flight."""
         self._change(server_name, -1)
 
-    def report(
+    def record_report(
         self, server_name: str, report: LoadReport, received_at: Instant
     ) -> None:
         """Takes in what a backend server said of itself.
@@ -99,7 +99,7 @@
         others = max(0.0, estimate - entry.in_flight)
         return entry.in_flight + others * (1 - age / REPORT_LIFETIME_MS)
 
-    def forget_idle(self) -> None:
+    def drop_idle(self) -> None:
         """Drops entries that say nothing any more, such as removed servers."""
         oldest = self._clock.now() - REPORT_LIFETIME_MS
         self._entries = {
--- a/cactusdyke/routing/pool_index.py
+++ b/cactusdyke/routing/pool_index.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from cactusdyke.configuration.model import BackendServer, Pool
 
-LEAST_RING = 16
+MIN_RING_SERVERS = 16
 
 
 class PoolIndex:
@@ -39,7 +39,7 @@
         Few near caches hold too few prefixes, and another data centre is
         nearer than reading a long prompt again.
         """
-        few = len(self.near) < LEAST_RING
+        few = len(self.near) < MIN_RING_SERVERS
         return HashRing(self.pool.backend_servers if few else self.near)
 
     def relative_price(self, server: BackendServer) -> float:
--- a/cactusdyke/routing/prefix_hints.py
+++ b/cactusdyke/routing/prefix_hints.py
@@ -16,7 +16,7 @@
 
 HINT_LIFETIME_MS = 60_000.0
 MAX_PREFIXES = 4_096
-PLACES_PER_PREFIX = 3
+SERVERS_PER_PREFIX = 3
 POINTS_PER_SERVER = 16
 PREFIX_CHARACTERS = 256
 
@@ -56,31 +56,33 @@
             collections.OrderedDict()
         )
 
-    def went(self, prefix: str, server_name: str) -> None:
+    def record_sent(self, prefix: str, server_name: str) -> None:
         """Notes that a request with a prefix was served there."""
         places = self._places.setdefault(prefix, {})
         self._places.move_to_end(prefix)
         places[server_name] = self._clock.now()
-        if len(places) > PLACES_PER_PREFIX:
+        if len(places) > SERVERS_PER_PREFIX:
             del places[min(places, key=places.__getitem__)]
         if len(self._places) > MAX_PREFIXES:
             self._places.popitem(last=False)
 
-    def evicted(self, prefix: str, server_name: str) -> None:
+    def record_eviction(self, prefix: str, server_name: str) -> None:
         """Notes a cache event that says a prefix is gone."""
         self._places.get(prefix, {}).pop(server_name, None)
 
-    def warmth(self, prefix: str, server_name: str) -> float:
+    def cache_affinity(self, prefix: str, server_name: str) -> float:
         """Returns from 0 (nothing known) to 1 (just served there)."""
         at = self._places.get(prefix, {}).get(server_name)
         if at is None:
             return 0.0
         return max(0.0, 1 - (self._clock.now() - at) / HINT_LIFETIME_MS)
 
-    def places(self, prefix: str) -> list[str]:
+    def likely_servers(self, prefix: str) -> list[str]:
         """Returns the names where a prefix is warm, the warmest first."""
         places = self._places.get(prefix, {})
-        warm = [name for name in places if self.warmth(prefix, name) > 0]
+        warm = [
+            name for name in places if self.cache_affinity(prefix, name) > 0
+        ]
         return sorted(warm, key=places.__getitem__, reverse=True)
 
 
--- a/cactusdyke/routing/router.py
+++ b/cactusdyke/routing/router.py
@@ -9,10 +9,10 @@
 from cactusdyke.errors import Failure, FailureKind, Ran
 from cactusdyke.kernel import Service
 from cactusdyke.routing.ejection import Ejections
-from cactusdyke.routing.load_book import LoadBook
+from cactusdyke.routing.load_tracker import LoadTracker
 from cactusdyke.routing.pool_index import PoolIndex
 from cactusdyke.routing.prefix_hints import PrefixHints
-from cactusdyke.routing.speed import SpeedBook
+from cactusdyke.routing.slowdown import SlowdownTracker
 
 if TYPE_CHECKING:
     import random
@@ -21,19 +21,19 @@
     from cactusdyke.clock import Clock, Instant
     from cactusdyke.configuration.model import BackendServer, Pool
 
-CHOICES = 2
-DRAWS = 8
+MAX_CANDIDATES = 2
+MAX_DRAWS = 8
 LEAVING_MS = 30_000.0
-SHORT_MS = 1_000.0
-FORGET_EVERY_MS = 60_000.0
+SATURATED_MS = 1_000.0
+CLEANUP_INTERVAL_MS = 60_000.0
 # Near servers are preferred until they are this full.
 NEAR_OCCUPANCY = 0.8
 # A warm cache is worth a load up to this many times the better of two.
 CACHE_LOAD_FACTOR = 2.0
-RING_STEPS = 8
+MAX_RING_STEPS = 8
 INDEXES_PER_POOL = 2
 # Attainment always counts a little: the cheapest server is no use when late.
-LEAST_ATTAINMENT_WEIGHT = 0.1
+MIN_ATTAINMENT_WEIGHT = 0.1
 
 
 class Router(Service):
@@ -45,8 +45,8 @@
         self._clock = clock
         self._rng = rng
         self._data_centre = data_centre
-        self._load = LoadBook(clock=clock)
-        self._speed = SpeedBook(clock=clock)
+        self._load = LoadTracker(clock=clock)
+        self._speed = SlowdownTracker(clock=clock)
         self._hints = PrefixHints(clock=clock)
         self._ejections = Ejections(clock=clock)
         self._leaving: dict[str, Instant] = {}
@@ -55,7 +55,7 @@
         self._indexes: dict[str, list[PoolIndex]] = {}
 
     @property
-    def load(self) -> LoadBook:
+    def load(self) -> LoadTracker:
         """What is known of backend servers' load."""
         return self._load
 
@@ -65,17 +65,17 @@
         return self._hints
 
     @property
-    def speed(self) -> SpeedBook:
+    def slowdown(self) -> SlowdownTracker:
         """How fast backend servers proved to be."""
         return self._speed
 
     async def run(self) -> None:
         """Keeps the memory bounded while backend servers come and go."""
         while True:
-            await self._clock.sleep(FORGET_EVERY_MS)
-            self._load.forget_idle()
-            self._speed.forget_old()
-            self._ejections.forget_old()
+            await self._clock.sleep(CLEANUP_INTERVAL_MS)
+            self._load.drop_idle()
+            self._speed.drop_stale()
+            self._ejections.drop_stale()
             now = self._clock.now()
             self._leaving = {
                 name: until
@@ -100,7 +100,7 @@
             attainment_weight: 1 if only time counts, 0 if only cost.
         """
         index = self._index(pool)
-        weight = max(attainment_weight, LEAST_ATTAINMENT_WEIGHT)
+        weight = max(attainment_weight, MIN_ATTAINMENT_WEIGHT)
         best = self._better(index, index.near, exclude, weight)
         if best is None or not self._good_enough(best):
             far = self._better(index, index.far, exclude, weight)
@@ -109,9 +109,9 @@
                 return None
             best = min(found, key=lambda s: self._score(index, s, weight))
         if prefix:
-            best = self._warm(index, prefix, exclude, best)
-            self._hints.went(prefix, best.name)
-        self._ejections.chosen(best.name)
+            best = self._prefer_cached(index, prefix, exclude, best)
+            self._hints.record_sent(prefix, best.name)
+        self._ejections.record_choice(best.name)
         return best
 
     def mark_leaving(self, server_name: str) -> None:
@@ -122,7 +122,7 @@
             )
         self._leaving[server_name] = self._clock.now() + LEAVING_MS
 
-    def mark_staying(self, server_name: str) -> None:
+    def clear_leaving(self, server_name: str) -> None:
         """Takes back `mark_leaving`, as when the host list says so."""
         self._leaving.pop(server_name, None)
 
@@ -137,11 +137,11 @@
         until = self._leaving.get(server_name)
         return until is not None and self._clock.now() < until
 
-    def succeeded(self, server: BackendServer) -> None:
+    def record_success(self, server: BackendServer) -> None:
         """Notes that an attempt was answered whole."""
-        self._ejections.succeeded(server.name)
+        self._ejections.record_success(server.name)
 
-    def failed(
+    def record_failure(
         self, pool: Pool, server: BackendServer, failure: Failure
     ) -> None:
         """Notes that an attempt failed, and draws the consequences."""
@@ -154,7 +154,9 @@
             # It answers and says that it is full: that is load, not ill health.
             return
         size = len(pool.backend_servers)
-        if self._ejections.failed(server.name, pool=pool.name, pool_size=size):
+        if self._ejections.record_failure(
+            server.name, pool=pool.name, pool_size=size
+        ):
             events.log(
                 events.Event.BACKEND_SERVER_EJECTED,
                 backend_server=server.name,
@@ -164,26 +166,26 @@
 
     def may_use(self, server: BackendServer) -> bool:
         """Returns whether a backend server is neither ejected nor leaving."""
-        return not self._ejections.is_out(server.name) and not self.is_leaving(
+        return not self._ejections.is_ejected(
             server.name
-        )
+        ) and not self.is_leaving(server.name)
 
-    def mark_short(self, pool_name: str) -> None:
+    def mark_saturated(self, pool_name: str) -> None:
         """Notes that requests wait for a pool before they may begin."""
-        self._short[pool_name] = self._clock.now() + SHORT_MS
+        self._short[pool_name] = self._clock.now() + SATURATED_MS
 
-    def is_short(self, pool_name: str) -> bool:
+    def is_saturated(self, pool_name: str) -> bool:
         """Returns whether requests waited for a pool a moment ago."""
         return self._clock.now() < self._short.get(pool_name, 0.0)
 
     @contextlib.contextmanager
     def in_flight(self, server: BackendServer) -> Iterator[None]:
         """Counts an attempt as in flight while the block runs."""
-        self._load.started(server.name)
+        self._load.record_start(server.name)
         try:
             yield
         finally:
-            self._load.ended(server.name)
+            self._load.record_end(server.name)
 
     def _index(self, pool: Pool) -> PoolIndex:
         known = self._indexes.setdefault(pool.name, [])
@@ -218,21 +220,21 @@
     ) -> list[BackendServer]:
         """Draws candidates; scans the pool only where most are unusable."""
         drawn: dict[str, BackendServer] = {}
-        if len(servers) > DRAWS:
-            for _ in range(DRAWS):
+        if len(servers) > MAX_DRAWS:
+            for _ in range(MAX_DRAWS):
                 server = servers[self._rng.randrange(len(servers))]
                 if server.name not in exclude and self.may_use(server):
                     drawn[server.name] = server
-                if len(drawn) == CHOICES:
+                if len(drawn) == MAX_CANDIDATES:
                     return list(drawn.values())
         usable = [
             server
             for server in servers
             if server.name not in exclude and self.may_use(server)
         ]
-        return self._rng.sample(usable, min(CHOICES, len(usable)))
+        return self._rng.sample(usable, min(MAX_CANDIDATES, len(usable)))
 
-    def _warm(
+    def _prefer_cached(
         self,
         index: PoolIndex,
         prefix: str,
@@ -243,12 +245,12 @@
         limit = CACHE_LOAD_FACTOR * self._time(best)
         hinted = [
             index.by_name[name]
-            for name in self._hints.places(prefix)
+            for name in self._hints.likely_servers(prefix)
             if name in index.by_name
         ]
         ring = []
         for step, server in enumerate(index.ring.walk(prefix)):
-            if step == RING_STEPS:
+            if step == MAX_RING_STEPS:
                 break
             ring.append(server)
         for server in (*hinted, *ring):
@@ -260,14 +262,14 @@
 
     def _good_enough(self, server: BackendServer) -> bool:
         """Returns whether to stay in the own data centre."""
-        slow = self._speed.slowness(server.name) > 1
+        slow = self._speed.slowdown(server.name) > 1
         return not slow and self._occupancy(server) < NEAR_OCCUPANCY
 
     def _occupancy(self, server: BackendServer) -> float:
         return self._load.outstanding(server.name) / server.slots
 
     def _time(self, server: BackendServer) -> float:
-        slowness = self._speed.slowness(server.name) / server.speed
+        slowness = self._speed.slowdown(server.name) / server.speed
         return slowness * (1 + self._occupancy(server))
 
     def _score(
@@ -280,7 +282,7 @@
         """
         time = self._time(server)
         full = self._occupancy(server) >= 1
-        slowness = self._speed.slowness(server.name) / server.speed
+        slowness = self._speed.slowdown(server.name) / server.speed
         cost = index.relative_price(server) * slowness
         score: float = time**weight * cost ** (1 - weight)
         return full, score
--- a/cactusdyke/routing/speed.py
+++ b/cactusdyke/routing/slowdown.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from cactusdyke.clock import Clock
 
-WEIGHT_OF_NEWEST = 0.3
+NEWEST_WEIGHT = 0.3
 HALF_LIFE_MS = 10_000.0
-SLOWEST = 50.0
-FASTEST = 0.2
-NOISE = 1.25
+MAX_SLOWDOWN = 50.0
+MIN_SLOWDOWN = 0.2
+NOISE_FACTOR = 1.25
 
 
 @attrs.define(kw_only=True)
@@ -24,7 +24,7 @@
     at: Instant
 
 
-class SpeedBook:
+class SlowdownTracker:
     """A decaying average of times taken, as multiples of what is typical."""
 
     def __init__(self, *, clock: Clock) -> None:
@@ -33,16 +33,16 @@
 
     def observe(self, server_name: str, ratio: float) -> None:
         """Takes in one time taken, divided by what is typical."""
-        ratio = min(max(ratio, FASTEST), SLOWEST)
+        ratio = min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
         now = self._clock.now()
         known = self._slowness.get(server_name)
         if known is None:
             known = self._slowness[server_name] = _Slowness(value=1.0, at=now)
         value = self._decayed(known, now)
-        known.value = value + WEIGHT_OF_NEWEST * (ratio - value)
+        known.value = value + NEWEST_WEIGHT * (ratio - value)
         known.at = now
 
-    def slowness(self, server_name: str) -> float:
+    def slowdown(self, server_name: str) -> float:
         """Returns 1 for the typical speed and more for a straggler.
 
         A straggler that nobody chooses is not measured again. Its slowness
@@ -54,9 +54,9 @@
         value = self._decayed(known, self._clock.now())
         # Within the noise all are alike; otherwise every daemon would send
         # its requests to the one that was quickest by a hair.
-        return 1.0 if 1 / NOISE < value < NOISE else value
+        return 1.0 if 1 / NOISE_FACTOR < value < NOISE_FACTOR else value
 
-    def forget_old(self) -> None:
+    def drop_stale(self) -> None:
         """Drops what has faded away."""
         oldest = self._clock.now() - 10 * HALF_LIFE_MS
         self._slowness = {
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -208,7 +208,7 @@
         pool = load.configuration.pools["engine"]
         server = next(s for s in pool.backend_servers if s.name == replica)
         failure = Failure(kind=FailureKind.BACKEND_LEAVING, detail="leaving")
-        router.failed(pool, server, failure)
+        router.record_failure(pool, server, failure)
 
     context.parts.append(refuse)
 
--- a/features/steps/requests_routing_steps.py
+++ b/features/steps/requests_routing_steps.py
@@ -88,9 +88,9 @@
 def when_in_flight(context, count):
     for name in ("engine-1", "engine-2"):
         report = LoadReport(running=0, waiting=0, age_ms=500)
-        context.router.load.report(name, report, context.clock.now())
+        context.router.load.record_report(name, report, context.clock.now())
     for _ in range(count):
-        context.router.load.started("engine-1")
+        context.router.load.record_start("engine-1")
 
 
 @when(
@@ -100,9 +100,9 @@
 def when_older(context, running):
     now = context.clock.now()
     load = context.router.load
-    load.report("engine-2", LoadReport(running=running, waiting=0), now)
+    load.record_report("engine-2", LoadReport(running=running, waiting=0), now)
     late = LoadReport(running=0, waiting=0, age_ms=900)
-    load.report("engine-2", late, now)
+    load.record_report("engine-2", late, now)
 
 
 @then("{name} is chosen each time")
@@ -115,7 +115,7 @@
 def when_all_fail(context, count):
     for _ in range(count):
         for server in context.pool.backend_servers:
-            context.router.failed(context.pool, server, FAILURE)
+            context.router.record_failure(context.pool, server, FAILURE)
 
 
 def _usable(context):
@@ -202,7 +202,7 @@
 def when_full(context):
     (name,) = context.chosen
     for _ in range(8):
-        context.router.load.started(name)
+        context.router.load.record_start(name)
 
 
 @then("the prefix goes elsewhere")
@@ -224,7 +224,7 @@
 @then("a full cheap one is not chosen")
 def then_not_full(context):
     for _ in range(8):
-        context.router.load.started("engine-2")
+        context.router.load.record_start("engine-2")
     _chosen_with(context, 0.2, "engine-1")
 
 
--- a/features/support/load_fleet.py
+++ b/features/support/load_fleet.py
@@ -76,7 +76,7 @@
             client=client,
             members=members,
             departures=departures,
-            load_book=router.load,
+            load_tracker=router.load,
             configuration=lambda: self.configuration,
         )
         return [departures, collector, router]
