--- a/cactusdyke/routing/__init__.py
+++ b/cactusdyke/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: which backend server takes a request, and calling it."""
+"""Routing: selects a backend server for a stage call and calls it."""
 
 from __future__ import annotations
 
--- a/cactusdyke/routing/backend_client.py
+++ b/cactusdyke/routing/backend_client.py
@@ -1,8 +1,8 @@
-"""Calls one backend server once, and checks that the answer is its own.
+"""Sends one attempt to a backend server and validates the answer.
 
-A backend server echoes request id, stage and attempt. An answer that carries
-others was meant for another request, and one without its end mark is not
-whole: both are failed attempts.
+A backend server echoes the request id, stage and attempt number. An answer
+with other values belongs to another request, and a stream without its end
+event is truncated; both count as failed attempts.
 """
 
 from __future__ import annotations
@@ -50,25 +50,25 @@
         fresh: bool = False,
         traceparent: str = "",
     ) -> Result[StageAnswer, Failure]:
-        """Makes one attempt and returns its whole answer."""
+        """Makes one attempt and returns its complete answer."""
         options = CallOptions(
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
             progress_timeout_ms=progress_timeout_ms,
             fresh=fresh,
         )
         answer = await self._network.fetch(
-            server.address, _request(call, traceparent), options
+            server.address, _run_request(call, traceparent), options
         )
         if isinstance(answer, Err):
             return answer
         body = answer.ok_value.body
         assert isinstance(body, bytes)
         if answer.ok_value.status != 200:
-            return Err(_refused(server, answer.ok_value.status, body))
+            return Err(_status_failure(server, answer.ok_value.status, body))
         value = parse_object(body)
         if isinstance(value, Err):
-            return Err(_broken(server, "the answer is not JSON"))
-        return _whole_answer(server, call, value.ok_value)
+            return Err(_protocol_failure(server, "answer is not valid JSON"))
+        return _validated_answer(server, call, value.ok_value)
 
     async def stream(
         self,
@@ -79,10 +79,11 @@
         fresh: bool = False,
         traceparent: str = "",
     ) -> AsyncGenerator[TokenBatch | StreamEnd, None]:
-        """Makes one attempt and yields its tokens, then its end mark.
+        """Makes one attempt and yields its tokens, then its end event.
 
         Raises:
-            CactusdykeError: The stream broke, or was not the one asked for.
+            CactusdykeError: The connection failed, the stream was truncated, or
+                it belongs to another request.
         """
         options = CallOptions(
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
@@ -91,31 +92,33 @@
             limit=limit,
         )
         async with self._network.open(
-            server.address, _request(call, traceparent), options
+            server.address, _run_request(call, traceparent), options
         ) as opened:
             if isinstance(opened, Err):
                 raise CactusdykeError(opened.err_value)
             incoming = opened.ok_value
             if incoming.status != 200:
                 body = b"".join([c async for c in incoming.chunks()])
-                raise CactusdykeError(_refused(server, incoming.status, body))
+                raise CactusdykeError(
+                    _status_failure(server, incoming.status, body)
+                )
             reader = _StreamReader(server, call)
             async for part in reader.read(incoming):
                 yield part
 
 
 class _StreamReader:
-    """Checks the events of one stream as they arrive."""
+    """Validates the events of one stream as they arrive."""
 
     def __init__(self, server: BackendServer, call: StageCall) -> None:
         self._server = server
         self._call = call
-        self._next = call.resume_from
+        self._next_position = call.resume_from
 
     async def read(
         self, incoming: Incoming
     ) -> AsyncGenerator[TokenBatch | StreamEnd, None]:
-        """Yields what each chunk holds."""
+        """Yields the tokens of each chunk, then the end event."""
         rest = b""
         async for chunk in incoming.chunks():
             *lines, rest = (rest + chunk).split(b"\n")
@@ -125,8 +128,10 @@
                 if not line.startswith(b"data:"):
                     continue
                 if end is not None:
-                    raise self._failure("events follow the end mark")
-                part = self._part(line[5:])
+                    raise self._protocol_error(
+                        "stream has events after its end event"
+                    )
+                part = self._parse_event(line[5:])
                 if isinstance(part, StreamEnd):
                     end = part
                 else:
@@ -136,33 +141,39 @@
             if end is not None:
                 yield end
                 return
-        raise self._failure("the stream ended without its end mark")
+        raise self._protocol_error("stream ended without its end event")
 
-    def _part(self, data: bytes) -> Token | StreamEnd:
+    def _parse_event(self, data: bytes) -> Token | StreamEnd:
         try:
             value = orjson.loads(data)
         except orjson.JSONDecodeError as error:
-            raise self._failure("an event is not JSON") from error
-        if not _is_own(self._call, value):
-            raise self._failure("an event belongs to another request")
+            raise self._protocol_error(
+                "stream event is not valid JSON"
+            ) from error
+        if not _matches_call(self._call, value):
+            raise self._protocol_error(
+                "stream event belongs to another request"
+            )
         if value.get("end"):
-            if value["tokens"] != self._next:
-                raise self._failure("the end mark counts other tokens")
+            if value["tokens"] != self._next_position:
+                raise self._protocol_error(
+                    "token count in the end event does not match"
+                )
             return StreamEnd(
                 tokens=value["tokens"],
                 busy_ms=value.get("busy_ms", 0.0),
-                load=_load(value),
+                load=_load_report(value),
             )
-        if value["position"] != self._next:
-            raise self._failure("a token is out of sequence")
-        self._next += 1
+        if value["position"] != self._next_position:
+            raise self._protocol_error("token is out of sequence")
+        self._next_position += 1
         return Token(position=value["position"], text=value["text"])
 
-    def _failure(self, detail: str) -> CactusdykeError:
-        return CactusdykeError(_broken(self._server, detail))
+    def _protocol_error(self, detail: str) -> CactusdykeError:
+        return CactusdykeError(_protocol_failure(self._server, detail))
 
 
-def _request(call: StageCall, traceparent: str) -> Request:
+def _run_request(call: StageCall, traceparent: str) -> Request:
     headers = {"content-type": JSON_TYPE}
     if traceparent:
         headers["traceparent"] = traceparent
@@ -188,7 +199,7 @@
     )
 
 
-def _is_own(call: StageCall, value: dict[str, Any]) -> bool:
+def _matches_call(call: StageCall, value: dict[str, Any]) -> bool:
     return (
         value.get("request_id") == call.request_id
         and value.get("stage") == call.stage
@@ -196,23 +207,25 @@
     )
 
 
-def _whole_answer(
+def _validated_answer(
     server: BackendServer, call: StageCall, value: dict[str, Any]
 ) -> Result[StageAnswer, Failure]:
-    if not _is_own(call, value):
-        return Err(_broken(server, "the answer belongs to another request"))
+    if not _matches_call(call, value):
+        return Err(
+            _protocol_failure(server, "answer belongs to another request")
+        )
     if "output" not in value:
-        return Err(_broken(server, "the answer holds no output"))
+        return Err(_protocol_failure(server, "answer has no output"))
     return Ok(
         StageAnswer(
             output=value["output"],
             busy_ms=value.get("busy_ms", 0.0),
-            load=_load(value),
+            load=_load_report(value),
         )
     )
 
 
-def _load(value: dict[str, Any]) -> LoadReport | None:
+def _load_report(value: dict[str, Any]) -> LoadReport | None:
     load = value.get("load")
     if load is None:
         return None
@@ -223,7 +236,7 @@
     )
 
 
-def _refused(server: BackendServer, status: int, body: bytes) -> Failure:
+def _status_failure(server: BackendServer, status: int, body: bytes) -> Failure:
     value = parse_object(body).unwrap_or({})
     not_run = value.get("ran") == Ran.NOT_RUN
     leaving = not_run and value.get("error") == LEAVING
@@ -232,13 +245,13 @@
         if leaving
         else FailureKind.BACKEND_FAILED,
         detail=f"{server.name} answered {status} {value.get('error', '')}",
-        # Only the backend server itself can say that it did not run.
+        # Only the backend server itself can state that the call did not run.
         ran=Ran.NOT_RUN if not_run else Ran.UNKNOWN,
         retry_after_ms=value.get("retry_after_ms"),
     )
 
 
-def _broken(server: BackendServer, detail: str) -> Failure:
+def _protocol_failure(server: BackendServer, detail: str) -> Failure:
     return Failure(
         kind=FailureKind.BROKEN_ANSWER,
         detail=f"{server.name}: {detail}",
--- a/cactusdyke/routing/messages.py
+++ b/cactusdyke/routing/messages.py
@@ -1,4 +1,4 @@
-"""What goes to backend servers and what comes back."""
+"""Messages exchanged with backend servers."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @attrs.frozen(kw_only=True)
 class StageCall:
-    """One attempt at one stage.
+    """Call of a backend server for one attempt at a stage.
 
     Attributes:
         request_id: The request that the attempt belongs to.
         stage: The stage's name.
-        attempt: Numbers the attempts of a stage, from 1.
-        model: The model that an engine is asked for.
-        input: What the stage works on.
+        attempt: Number of the attempt, from 1.
+        model: The model that the engine runs.
+        input: The input of the stage.
         remaining_ms: Time left until the request's deadline.
-        priority: Higher is served first.
-        stream: Whether the answer comes token by token.
-        resume_from: The first token position wanted.
-        prefix: Names the prompt prefix, as a hint for caches.
-        idempotency_key: Names a call that must not run twice, for services
-            that can recognise it.
+        priority: Higher values are served first.
+        stream: Whether the answer is streamed token by token.
+        resume_from: The first token position to send.
+        prefix: Identifies the prompt prefix, as a hint for caches.
+        idempotency_key: Identifies a call that must not run twice, for
+            services that detect repeated calls.
     """
 
     request_id: str
@@ -41,12 +41,12 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """How busy a backend server said it was.
+    """Load that a backend server reports for itself.
 
     Attributes:
-        running: Requests that it was running.
-        waiting: Requests that it had queued.
-        age_ms: How old the report was when it was sent.
+        running: Requests running.
+        waiting: Requests queued.
+        age_ms: Age of the report when it was sent.
     """
 
     running: int
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class StageAnswer:
-    """A whole, checked answer to one attempt."""
+    """A complete, validated answer to one attempt."""
 
     output: Any
     busy_ms: float
@@ -65,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Token:
-    """One generated token and its place in the answer."""
+    """One generated token and its position in the answer."""
 
     position: int
     text: str
@@ -80,7 +80,7 @@
 
 @attrs.frozen(kw_only=True)
 class StreamEnd:
-    """The end mark of a stream."""
+    """The end event of a stream, with the number of its tokens."""
 
     tokens: int
     busy_ms: float
--- a/cactusdyke/routing/pool_index.py
+++ b/cactusdyke/routing/pool_index.py
@@ -1,4 +1,4 @@
-"""A pool laid out for choosing, so that a choice doesn't scan the pool."""
+"""Precomputed index of a pool, so that a choice does not scan the pool."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PoolIndex:
-    """One pool as one daemon sees it; made anew when the pool changes."""
+    """Index of a pool for one daemon, rebuilt when the pool changes."""
 
     def __init__(self, pool: Pool, data_centre: str) -> None:
         self.pool = pool
@@ -34,16 +34,18 @@
 
     @functools.cached_property
     def ring(self) -> HashRing:
-        """The consistent-hash ring of those whose caches are worth it.
+        """The consistent-hash ring of the servers whose caches are used.
 
-        Few near caches hold too few prefixes, and another data centre is
-        nearer than reading a long prompt again.
+        A few caches in the local data centre hold too few prefixes, and a
+        call to another data centre costs less than prefilling a long prompt
+        again. The ring therefore covers all data centres if the local one has
+        fewer than `MIN_RING_SERVERS` servers.
         """
-        few = len(self.near) < MIN_RING_SERVERS
-        return HashRing(self.pool.backend_servers if few else self.near)
+        too_few = len(self.near) < MIN_RING_SERVERS
+        return HashRing(self.pool.backend_servers if too_few else self.near)
 
     def relative_price(self, server: BackendServer) -> float:
-        """Returns the price of a busy second against the pool's mean."""
+        """Returns the price of a busy second, relative to the pool's mean."""
         if self._mean_price <= 0:
             return 1.0
         return max(server.price_per_second / self._mean_price, 0.01)
--- a/cactusdyke/routing/prefix_hints.py
+++ b/cactusdyke/routing/prefix_hints.py
@@ -1,4 +1,4 @@
-"""Where a prompt prefix is likely to be cached, as hints that fade."""
+"""Hints, which expire, about servers that cache a prompt prefix."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HashRing:
-    """A consistent-hash ring: every daemon finds the same first choice."""
+    """A consistent-hash ring, so that all daemons prefer the same server."""
 
     def __init__(self, servers: Sequence[BackendServer]) -> None:
         points = [
@@ -35,7 +35,7 @@
         self._servers = [point[1] for point in points]
 
     def walk(self, prefix: str) -> Iterator[BackendServer]:
-        """Yields servers clockwise from the prefix's place, with repeats."""
+        """Yields servers clockwise from the prefix's hash, with repeats."""
         start = bisect.bisect(
             self._hashes, xxhash.xxh64_intdigest(prefix.encode())
         )
@@ -44,52 +44,53 @@
 
 
 class PrefixHints:
-    """A bounded memory of where prefixes went and what caches said.
+    """Bounded record of the servers that prefixes were sent to.
 
-    Cache events come late and with gaps, so nothing here is relied on: a
-    wrong hint costs a cache miss, never a wrong answer.
+    Cache events are delayed and incomplete, so these are only hints: a wrong
+    one causes a cache miss, never a wrong answer.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._places: collections.OrderedDict[str, dict[str, Instant]] = (
+        self._sent_at: collections.OrderedDict[str, dict[str, Instant]] = (
             collections.OrderedDict()
         )
 
     def record_sent(self, prefix: str, server_name: str) -> None:
-        """Notes that a request with a prefix was served there."""
-        places = self._places.setdefault(prefix, {})
-        self._places.move_to_end(prefix)
-        places[server_name] = self._clock.now()
-        if len(places) > SERVERS_PER_PREFIX:
-            del places[min(places, key=places.__getitem__)]
-        if len(self._places) > MAX_PREFIXES:
-            self._places.popitem(last=False)
+        """Records that a request with a prefix was sent to a server."""
+        sent_at = self._sent_at.setdefault(prefix, {})
+        self._sent_at.move_to_end(prefix)
+        sent_at[server_name] = self._clock.now()
+        if len(sent_at) > SERVERS_PER_PREFIX:
+            del sent_at[min(sent_at, key=sent_at.__getitem__)]
+        if len(self._sent_at) > MAX_PREFIXES:
+            self._sent_at.popitem(last=False)
 
     def record_eviction(self, prefix: str, server_name: str) -> None:
-        """Notes a cache event that says a prefix is gone."""
-        self._places.get(prefix, {}).pop(server_name, None)
+        """Records a cache event that reports the eviction of a prefix."""
+        self._sent_at.get(prefix, {}).pop(server_name, None)
 
     def cache_affinity(self, prefix: str, server_name: str) -> float:
-        """Returns from 0 (nothing known) to 1 (just served there)."""
-        at = self._places.get(prefix, {}).get(server_name)
+        """Returns a value from 0 (no hint) to 1 (sent there just now)."""
+        at = self._sent_at.get(prefix, {}).get(server_name)
         if at is None:
             return 0.0
         return max(0.0, 1 - (self._clock.now() - at) / HINT_LIFETIME_MS)
 
     def likely_servers(self, prefix: str) -> list[str]:
-        """Returns the names where a prefix is warm, the warmest first."""
-        places = self._places.get(prefix, {})
-        warm = [
-            name for name in places if self.cache_affinity(prefix, name) > 0
+        """Returns the servers that likely cache a prefix, latest use first."""
+        sent_at = self._sent_at.get(prefix, {})
+        likely = [
+            name for name in sent_at if self.cache_affinity(prefix, name) > 0
         ]
-        return sorted(warm, key=places.__getitem__, reverse=True)
+        return sorted(likely, key=sent_at.__getitem__, reverse=True)
 
 
 def prefix_of(model: str, value: Any) -> str:
-    """Returns the name of a stage input's prefix, empty where it has none.
+    """Returns the key of a stage input's prefix; empty if it has none.
 
-    A caller names it as `prefix`; else a prompt's first characters do.
+    The key is the caller's `prefix` if given, or else a hash of the prompt's
+    first characters.
     """
     if isinstance(value, dict):
         if isinstance(value.get("prefix"), str):
--- a/cactusdyke/routing/router.py
+++ b/cactusdyke/routing/router.py
@@ -1,4 +1,4 @@
-"""Chooses a backend server of a pool."""
+"""Selects a backend server of a pool."""
 
 from __future__ import annotations
 
@@ -26,18 +26,24 @@
 LEAVING_MS = 30_000.0
 SATURATED_MS = 1_000.0
 CLEANUP_INTERVAL_MS = 60_000.0
-# Near servers are preferred until they are this full.
-NEAR_OCCUPANCY = 0.8
-# A warm cache is worth a load up to this many times the better of two.
+# Servers in the local data centre are preferred up to this occupancy.
+MAX_LOCAL_OCCUPANCY = 0.8
+# A server that caches the prefix is chosen if its relative time is at most
+# this multiple of the best candidate's.
 CACHE_LOAD_FACTOR = 2.0
 MAX_RING_STEPS = 8
 INDEXES_PER_POOL = 2
-# Attainment always counts a little: the cheapest server is no use when late.
+# The deadline always has some weight: the cheapest server has no value if the
+# answer is late.
 MIN_ATTAINMENT_WEIGHT = 0.1
 
 
 class Router(Service):
-    """Chooses the better of two candidates by load, speed and price."""
+    """Chooses the better of two random candidates by load, speed and price.
+
+    Servers of the local data centre come first, and servers that cache the
+    prefix are preferred.
+    """
 
     def __init__(
         self, *, clock: Clock, rng: random.Random, data_centre: str = ""
@@ -46,35 +52,35 @@
         self._rng = rng
         self._data_centre = data_centre
         self._load = LoadTracker(clock=clock)
-        self._speed = SlowdownTracker(clock=clock)
+        self._slowdown = SlowdownTracker(clock=clock)
         self._hints = PrefixHints(clock=clock)
         self._ejections = Ejections(clock=clock)
         self._leaving: dict[str, Instant] = {}
-        self._short: dict[str, Instant] = {}
+        self._saturated: dict[str, Instant] = {}
         self._refusals: set[str] = set()
         self._indexes: dict[str, list[PoolIndex]] = {}
 
     @property
     def load(self) -> LoadTracker:
-        """What is known of backend servers' load."""
+        """Load of the backend servers."""
         return self._load
 
     @property
     def hints(self) -> PrefixHints:
-        """Where prefixes are likely to be cached."""
+        """Servers that likely cache prefixes."""
         return self._hints
 
     @property
     def slowdown(self) -> SlowdownTracker:
-        """How fast backend servers proved to be."""
-        return self._speed
+        """Measured slowdown of the backend servers."""
+        return self._slowdown
 
     async def run(self) -> None:
-        """Keeps the memory bounded while backend servers come and go."""
+        """Periodically drops the state of removed backend servers."""
         while True:
             await self._clock.sleep(CLEANUP_INTERVAL_MS)
             self._load.drop_idle()
-            self._speed.drop_stale()
+            self._slowdown.drop_stale()
             self._ejections.drop_stale()
             now = self._clock.now()
             self._leaving = {
@@ -91,19 +97,19 @@
         prefix: str = "",
         attainment_weight: float = 1.0,
     ) -> BackendServer | None:
-        """Returns a backend server that may be used, or None.
+        """Returns a usable backend server, or None.
 
         Args:
             pool: The pool to choose from.
-            exclude: Names that were tried already.
-            prefix: Names the prompt prefix, where a warm cache helps.
-            attainment_weight: 1 if only time counts, 0 if only cost.
+            exclude: Names of servers that were tried already.
+            prefix: Key of the prompt prefix; empty if there is none.
+            attainment_weight: From 0 (minimise cost) to 1 (minimise time).
         """
         index = self._index(pool)
         weight = max(attainment_weight, MIN_ATTAINMENT_WEIGHT)
-        best = self._better(index, index.near, exclude, weight)
-        if best is None or not self._good_enough(best):
-            far = self._better(index, index.far, exclude, weight)
+        best = self._best_of_drawn(index, index.near, exclude, weight)
+        if best is None or not self._is_acceptable(best):
+            far = self._best_of_drawn(index, index.far, exclude, weight)
             found = [server for server in (best, far) if server is not None]
             if not found:
                 return None
@@ -115,7 +121,7 @@
         return best
 
     def mark_leaving(self, server_name: str) -> None:
-        """Keeps new work from a backend server that is leaving."""
+        """Excludes a leaving backend server from new work for a while."""
         if not self.is_leaving(server_name):
             events.log(
                 events.Event.BACKEND_SERVER_LEAVING, backend_server=server_name
@@ -123,11 +129,11 @@
         self._leaving[server_name] = self._clock.now() + LEAVING_MS
 
     def clear_leaving(self, server_name: str) -> None:
-        """Takes back `mark_leaving`, as when the host list says so."""
+        """Reverts `mark_leaving`, as when the host list reports it live."""
         self._leaving.pop(server_name, None)
 
     def take_refusals(self) -> tuple[str, ...]:
-        """Returns who said since the last call that they are leaving."""
+        """Returns the servers that refused as leaving since the last call."""
         refusals = tuple(self._refusals)
         self._refusals.clear()
         return refusals
@@ -138,20 +144,20 @@
         return until is not None and self._clock.now() < until
 
     def record_success(self, server: BackendServer) -> None:
-        """Notes that an attempt was answered whole."""
+        """Records a successful attempt."""
         self._ejections.record_success(server.name)
 
     def record_failure(
         self, pool: Pool, server: BackendServer, failure: Failure
     ) -> None:
-        """Notes that an attempt failed, and draws the consequences."""
+        """Records a failed attempt, which may eject the server."""
         if failure.kind is FailureKind.BACKEND_LEAVING:
             self.mark_leaving(server.name)
             self._refusals.add(server.name)
             return
         refused = failure.kind is FailureKind.BACKEND_FAILED
         if refused and failure.ran is Ran.NOT_RUN:
-            # It answers and says that it is full: that is load, not ill health.
+            # A server that answers that it is full is loaded, not unhealthy.
             return
         size = len(pool.backend_servers)
         if self._ejections.record_failure(
@@ -171,12 +177,12 @@
         ) and not self.is_leaving(server.name)
 
     def mark_saturated(self, pool_name: str) -> None:
-        """Notes that requests wait for a pool before they may begin."""
-        self._short[pool_name] = self._clock.now() + SATURATED_MS
+        """Records that requests are queued for a pool before they start."""
+        self._saturated[pool_name] = self._clock.now() + SATURATED_MS
 
     def is_saturated(self, pool_name: str) -> bool:
-        """Returns whether requests waited for a pool a moment ago."""
-        return self._clock.now() < self._short.get(pool_name, 0.0)
+        """Returns whether requests were recently queued for a pool."""
+        return self._clock.now() < self._saturated.get(pool_name, 0.0)
 
     @contextlib.contextmanager
     def in_flight(self, server: BackendServer) -> Iterator[None]:
@@ -193,17 +199,17 @@
             if index.pool is pool:
                 return index
         for index in known:
-            # A new revision holds equal pools in new objects. Laying each out
-            # again would cost more than all choices until the next revision.
+            # A new revision contains equal pools in new objects. Rebuilding
+            # each index would cost more than all choices until the next one.
             if index.pool.backend_servers == pool.backend_servers:
                 index.pool = pool
                 return index
         known.insert(0, PoolIndex(pool, self._data_centre))
-        # Requests keep the revision that they began with, so two are in use.
+        # Requests keep the revision that they started with, so two are in use.
         del known[INDEXES_PER_POOL:]
         return known[0]
 
-    def _better(
+    def _best_of_drawn(
         self,
         index: PoolIndex,
         servers: Sequence[BackendServer],
@@ -218,7 +224,7 @@
     def _draw(
         self, servers: Sequence[BackendServer], exclude: Collection[str]
     ) -> list[BackendServer]:
-        """Draws candidates; scans the pool only where most are unusable."""
+        """Draws candidates; scans the pool only if most are unusable."""
         drawn: dict[str, BackendServer] = {}
         if len(servers) > MAX_DRAWS:
             for _ in range(MAX_DRAWS):
@@ -241,8 +247,8 @@
         exclude: Collection[str],
         best: BackendServer,
     ) -> BackendServer:
-        """Returns where the prefix is warm, as far as load allows."""
-        limit = CACHE_LOAD_FACTOR * self._time(best)
+        """Returns a server that likely caches the prefix, if load allows."""
+        limit = CACHE_LOAD_FACTOR * self._relative_time(best)
         hinted = [
             index.by_name[name]
             for name in self._hints.likely_servers(prefix)
@@ -256,33 +262,36 @@
         for server in (*hinted, *ring):
             if server.name in exclude or not self.may_use(server):
                 continue
-            if self._occupancy(server) < 1 and self._time(server) <= limit:
+            if (
+                self._occupancy(server) < 1
+                and self._relative_time(server) <= limit
+            ):
                 return server
         return best
 
-    def _good_enough(self, server: BackendServer) -> bool:
-        """Returns whether to stay in the own data centre."""
-        slow = self._speed.slowdown(server.name) > 1
-        return not slow and self._occupancy(server) < NEAR_OCCUPANCY
+    def _is_acceptable(self, server: BackendServer) -> bool:
+        """Returns whether to skip servers of other data centres."""
+        slow = self._slowdown.slowdown(server.name) > 1
+        return not slow and self._occupancy(server) < MAX_LOCAL_OCCUPANCY
 
     def _occupancy(self, server: BackendServer) -> float:
         return self._load.outstanding(server.name) / server.slots
 
-    def _time(self, server: BackendServer) -> float:
-        slowness = self._speed.slowdown(server.name) / server.speed
-        return slowness * (1 + self._occupancy(server))
+    def _relative_time(self, server: BackendServer) -> float:
+        slowdown = self._slowdown.slowdown(server.name) / server.speed
+        return slowdown * (1 + self._occupancy(server))
 
     def _score(
         self, index: PoolIndex, server: BackendServer, weight: float
     ) -> tuple[bool, float]:
-        """Returns what is smaller for the better choice.
+        """Returns the sort key of a candidate; lower is better.
 
-        A full server comes after one that has a free slot, however cheap it
-        is: waiting there costs the deadline.
+        A full server ranks after one with a free slot whatever its price,
+        because queueing there may miss the deadline.
         """
-        time = self._time(server)
+        time = self._relative_time(server)
         full = self._occupancy(server) >= 1
-        slowness = self._speed.slowdown(server.name) / server.speed
-        cost = index.relative_price(server) * slowness
+        slowdown = self._slowdown.slowdown(server.name) / server.speed
+        cost = index.relative_price(server) * slowdown
         score: float = time**weight * cost ** (1 - weight)
         return full, score
--- a/cactusdyke/routing/slowdown.py
+++ b/cactusdyke/routing/slowdown.py
@@ -1,4 +1,4 @@
-"""How fast backend servers proved to be against the others of their pool."""
+"""Measured slowdown of backend servers, relative to typical durations."""
 
 from __future__ import annotations
 
@@ -19,52 +19,52 @@
 
 
 @attrs.define(kw_only=True)
-class _Slowness:
+class _Average:
     value: float
     at: Instant
 
 
 class SlowdownTracker:
-    """A decaying average of times taken, as multiples of what is typical."""
+    """A decaying average of durations, as multiples of the typical one."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._slowness: dict[str, _Slowness] = {}
+        self._averages: dict[str, _Average] = {}
 
     def observe(self, server_name: str, ratio: float) -> None:
-        """Takes in one time taken, divided by what is typical."""
+        """Records one duration, divided by the typical one."""
         ratio = min(max(ratio, MIN_SLOWDOWN), MAX_SLOWDOWN)
         now = self._clock.now()
-        known = self._slowness.get(server_name)
+        known = self._averages.get(server_name)
         if known is None:
-            known = self._slowness[server_name] = _Slowness(value=1.0, at=now)
+            known = self._averages[server_name] = _Average(value=1.0, at=now)
         value = self._decayed(known, now)
         known.value = value + NEWEST_WEIGHT * (ratio - value)
         known.at = now
 
     def slowdown(self, server_name: str) -> float:
-        """Returns 1 for the typical speed and more for a straggler.
+        """Returns 1 for the typical speed and more for a slow server.
 
-        A straggler that nobody chooses is not measured again. Its slowness
-        therefore fades, until a request tries it once more.
+        A slow server that is not chosen is not measured again. Its slowdown
+        therefore decays towards 1, until it is chosen once more.
         """
-        known = self._slowness.get(server_name)
+        known = self._averages.get(server_name)
         if known is None:
             return 1.0
         value = self._decayed(known, self._clock.now())
-        # Within the noise all are alike; otherwise every daemon would send
-        # its requests to the one that was quickest by a hair.
+        # Differences within the noise are ignored; otherwise every daemon
+        # would send its requests to the server with the least measured value.
         return 1.0 if 1 / NOISE_FACTOR < value < NOISE_FACTOR else value
 
     def drop_stale(self) -> None:
-        """Drops what has faded away."""
+        """Drops averages that have decayed to about 1."""
         oldest = self._clock.now() - 10 * HALF_LIFE_MS
-        self._slowness = {
+        self._averages = {
             name: known
-            for name, known in self._slowness.items()
+            for name, known in self._averages.items()
             if known.at > oldest
         }
 
-    def _decayed(self, known: _Slowness, now: Instant) -> float:
-        fade: float = 0.5 ** ((now - known.at) / HALF_LIFE_MS)
-        return 1.0 + (known.value - 1.0) * fade
+    def _decayed(self, known: _Average, now: Instant) -> float:
+        decay: float = 0.5 ** ((now - known.at) / HALF_LIFE_MS)
+        return 1.0 + (known.value - 1.0) * decay
