--- a/cactusdyke/load/__init__.py
+++ b/cactusdyke/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load reports and departures of backend servers, for the whole fleet."""
+"""Load and departures of backend servers, shared between daemons."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def setup(app: Application) -> ExtensionMetadata:
-    """Registers the collector of load and the watcher of departures."""
+    """Registers the load collector and the tracking of departures."""
     app.setup_extension("cactusdyke.membership.extension")
     app.setup_extension("cactusdyke.routing")
     in_force = app.service("configuration", InForce)
--- a/cactusdyke/load/aggregates.py
+++ b/cactusdyke/load/aggregates.py
@@ -1,4 +1,4 @@
-"""Load by pool and model of whole data centres, passed between them."""
+"""Load by pool and model, exchanged between data centres."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
     from cactusdyke.membership.member import Member
 
 AGE_STEP_MS = 100.0
-LIFETIME_MS = 60_000.0
-FRESH_MS = 10_000.0
-MAX_CARRIED = 8
+AGGREGATE_LIFETIME_MS = 60_000.0
+MAX_READING_AGE_MS = 10_000.0
+MAX_PER_MESSAGE = 8
 
 
 @attrs.frozen(kw_only=True)
 class Aggregate:
-    """The load of one pool's replicas with one model in a data centre.
+    """The load of a pool's replicas with one busiest model in a data centre.
 
     Attributes:
-        data_centre: Where they stand.
-        pool: Their pool.
-        model: Their busiest model; empty where they tell of none.
-        replicas: How many were read lately.
-        running: Requests running there.
-        waiting: Requests queued there.
-        measured_at: Instant on this daemon's clock.
+        data_centre: Data centre of the replicas.
+        pool: Pool of the replicas.
+        model: Their busiest model; empty if they report none.
+        replicas: Number of replicas with a recent reading.
+        running: Requests running at them.
+        waiting: Requests queued at them.
+        measured_at: Instant of the oldest reading, on this daemon's clock.
     """
 
     data_centre: str
@@ -48,7 +48,7 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """What the aggregate is of."""
+        """Data centre, pool and model."""
         return (self.data_centre, self.pool, self.model)
 
 
@@ -67,18 +67,18 @@
         self._data_centre = data_centre
         self._replicas = replicas
         self._readings = readings
-        self._others: dict[tuple[str, str, str], Aggregate] = {}
-        self._turn = 0
+        self._remote: dict[tuple[str, str, str], Aggregate] = {}
+        self._next_start = 0
 
     def all(self) -> list[Aggregate]:
         """Returns the aggregates of all data centres."""
-        oldest = self._clock.now() - LIFETIME_MS
-        self._others = {
+        oldest = self._clock.now() - AGGREGATE_LIFETIME_MS
+        self._remote = {
             key: aggregate
-            for key, aggregate in self._others.items()
+            for key, aggregate in self._remote.items()
             if aggregate.measured_at >= oldest
         }
-        return [*self.local(), *self._others.values()]
+        return [*self.local(), *self._remote.values()]
 
     def local(self) -> list[Aggregate]:
         """Returns the aggregates of this daemon's data centre."""
@@ -86,7 +86,7 @@
         oldest = self._clock.now()
         for replica in self._replicas().replicas:
             reading = self._readings.find(replica.server.name)
-            if reading is None or self._is_old(reading.measured_at):
+            if reading is None or self._is_stale(reading.measured_at):
                 continue
             model = ""
             if reading.model_index is not None and reading.model_index < len(
@@ -112,22 +112,22 @@
         ]
 
     def write(self, receiver: Member | None) -> Any:
-        """Returns a few aggregates, each in its turn."""
+        """Returns up to `MAX_PER_MESSAGE` aggregates, in rotation."""
         if receiver is None:
             return None
-        known = list(self._others.values())
+        known = list(self._remote.values())
         if receiver.data_centre != self._data_centre:
             known += self.local()
         known = [a for a in known if a.data_centre != receiver.data_centre]
         if not known:
             return None
-        self._turn += MAX_CARRIED
-        start = self._turn % len(known)
-        chosen = (known[start:] + known[:start])[:MAX_CARRIED]
-        return [self._to_wire(aggregate) for aggregate in chosen]
+        self._next_start += MAX_PER_MESSAGE
+        start = self._next_start % len(known)
+        chosen = (known[start:] + known[:start])[:MAX_PER_MESSAGE]
+        return [self._encode(aggregate) for aggregate in chosen]
 
     def read(self, sender: Member, value: Any) -> None:
-        """Takes aggregates of other data centres that are newer."""
+        """Merges newer aggregates of other data centres."""
         now = self._clock.now()
         for data_centre, pool, model, replicas, running, waiting, age in value:
             if data_centre == self._data_centre:
@@ -141,14 +141,14 @@
                 waiting=int(waiting),
                 measured_at=now - age * AGE_STEP_MS,
             )
-            known = self._others.get(aggregate.key)
+            known = self._remote.get(aggregate.key)
             if known is None or aggregate.measured_at > known.measured_at:
-                self._others[aggregate.key] = aggregate
+                self._remote[aggregate.key] = aggregate
 
-    def _is_old(self, measured_at: Instant) -> bool:
-        return self._clock.now() - measured_at > FRESH_MS
+    def _is_stale(self, measured_at: Instant) -> bool:
+        return self._clock.now() - measured_at > MAX_READING_AGE_MS
 
-    def _to_wire(self, aggregate: Aggregate) -> list[Any]:
+    def _encode(self, aggregate: Aggregate) -> list[Any]:
         age_ms = self._clock.now() - aggregate.measured_at
         return [
             aggregate.data_centre,
--- a/cactusdyke/load/collector.py
+++ b/cactusdyke/load/collector.py
@@ -1,4 +1,4 @@
-"""Reads the load of the replicas that belong to this daemon."""
+"""Reads the load of the replicas assigned to this daemon."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 LOAD_PATH = "/v1/load"
 READ_INTERVAL_MS = 1_000.0
 READ_TIMEOUT_MS = 500.0
-# At the target a daemon has five replicas to read and a message costs about a
-# millisecond; with three a second each is still read every two seconds.
-MAX_READS_AT_ONCE = 3
+# In a full-size fleet a daemon reads five replicas, and a message costs about a
+# millisecond of processor time; at three reads a second, each replica is still
+# read every two seconds.
+MAX_CONCURRENT_READS = 3
 
 
 class LoadCollector(Service):
-    """Reads replicas in turn, the one whose reading is oldest first.
+    """Polls the assigned replicas, the least recently tried one first.
 
-    Where a data centre has replicas and no daemon, the daemons of all others
-    read them.
+    The replicas of a data centre without daemons are read by the daemons of
+    all other data centres.
     """
 
     def __init__(
@@ -58,16 +59,16 @@
         self._load_book = load_tracker
         self._configuration = configuration
         self._data_centre = members.own.data_centre
-        self._lists: dict[str, DataCentreReplicas] = {}
-        self._listed: Configuration | None = None
+        self._replicas: dict[str, DataCentreReplicas] = {}
+        self._replicas_for: Configuration | None = None
         self._assigned: list[Replica] = []
         self._assigned_for: tuple[Any, ...] = ()
-        self._tried_at: dict[str, float] = {}
+        self._attempted_at: dict[str, float] = {}
         self.readings = Readings(
             clock=clock,
             data_centre=self._data_centre,
             replicas=self._local_replicas,
-            sink=self._report,
+            sink=self._track_load,
         )
         self.aggregates = Aggregates(
             clock=clock,
@@ -93,40 +94,45 @@
         if key != self._assigned_for:
             self._assigned_for = key
             self._assigned = []
-            here = [m for m in members if m.data_centre == self._data_centre]
-            staffed = {m.data_centre for m in members}
-            for data_centre in sorted(self._all_lists()):
-                if data_centre in staffed and data_centre != self._data_centre:
+            local = [m for m in members if m.data_centre == self._data_centre]
+            with_daemons = {m.data_centre for m in members}
+            for data_centre in sorted(self._replicas_by_data_centre()):
+                if (
+                    data_centre in with_daemons
+                    and data_centre != self._data_centre
+                ):
                     continue
-                readers = here if data_centre == self._data_centre else members
+                readers = local if data_centre == self._data_centre else members
                 self._assigned += replica_lists.assigned(
-                    self._all_lists()[data_centre].replicas, own.name, readers
+                    self._replicas_by_data_centre()[data_centre].replicas,
+                    own.name,
+                    readers,
                 )
         return self._assigned if own.state is MemberState.LIVE else []
 
     async def run(self) -> None:
-        """Reads a few replicas each interval until it is cancelled."""
+        """Reads a few replicas each interval until cancelled."""
         while True:
-            began = self._clock.now()
+            started_at = self._clock.now()
             self.readings.drop_removed()
             async with anyio.create_task_group() as tasks:
                 for replica in self._due():
                     tasks.start_soon(self._read, replica)
-            took = self._clock.now() - began
-            await self._clock.sleep(READ_INTERVAL_MS - took)
+            elapsed_ms = self._clock.now() - started_at
+            await self._clock.sleep(READ_INTERVAL_MS - elapsed_ms)
 
     def _due(self) -> list[Replica]:
-        # By the last attempt, not by the last success: replicas that do not
-        # answer would otherwise keep the others from being read.
+        # Ordered by the last attempt, not the last success: otherwise replicas
+        # that do not answer would always come first and block the others.
         replicas = sorted(
             self.assigned(),
-            key=lambda r: self._tried_at.get(r.server.name, -math.inf),
+            key=lambda r: self._attempted_at.get(r.server.name, -math.inf),
         )
-        return replicas[:MAX_READS_AT_ONCE]
+        return replicas[:MAX_CONCURRENT_READS]
 
     async def _read(self, replica: Replica) -> None:
-        began = self._clock.now()
-        self._tried_at[replica.server.name] = began
+        sent_at = self._clock.now()
+        self._attempted_at[replica.server.name] = sent_at
         answer = await self._client.get(
             "load",
             replica.server.address,
@@ -152,12 +158,13 @@
                     if model in replica.models
                     else None
                 ),
-                # The answer speaks of a moment after the question.
-                measured_at=began,
+                # The load is measured after the request is sent, so the
+                # reading is never older than this.
+                measured_at=sent_at,
             ),
         )
 
-    def _report(self, name: str, reading: Reading) -> None:
+    def _track_load(self, name: str, reading: Reading) -> None:
         now = self._clock.now()
         report = LoadReport(
             running=reading.running,
@@ -167,27 +174,27 @@
         self._load_book.record_report(name, report, now)
 
     def _local_replicas(self) -> DataCentreReplicas:
-        self._all_lists()
-        known = self._lists.get(self._data_centre)
+        self._replicas_by_data_centre()
+        known = self._replicas.get(self._data_centre)
         if known is None:
             known = replica_lists.in_data_centre(
                 self._configuration(), self._data_centre
             )
-            self._lists[self._data_centre] = known
+            self._replicas[self._data_centre] = known
         return known
 
-    def _all_lists(self) -> dict[str, DataCentreReplicas]:
+    def _replicas_by_data_centre(self) -> dict[str, DataCentreReplicas]:
         configuration = self._configuration()
-        if configuration is not self._listed:
-            self._listed = configuration
+        if configuration is not self._replicas_for:
+            self._replicas_for = configuration
             centres = {
                 server.data_centre
                 for pool in configuration.pools.values()
                 for server in pool.backend_servers
             }
-            self._lists = {
+            self._replicas = {
                 centre: replica_lists.in_data_centre(configuration, centre)
                 for centre in centres
             }
-            self._tried_at = {}
-        return self._lists
+            self._attempted_at = {}
+        return self._replicas
--- a/cactusdyke/load/departures.py
+++ b/cactusdyke/load/departures.py
@@ -1,4 +1,4 @@
-"""Which backend servers are leaving, by every word that there is of it."""
+"""Tracks leaving backend servers from all sources of information."""
 
 from __future__ import annotations
 
@@ -26,29 +26,30 @@
     from cactusdyke.membership.members import Members
     from cactusdyke.routing.router import Router
 
-READERS_A_DATA_CENTRE = 2
+READERS_PER_DATA_CENTRE = 2
 READ_INTERVAL_MS = 2_000.0
 READ_JITTER = 0.25
-LOOK_INTERVAL_MS = 500.0
-CONFIRM_EVERY_MS = 10_000.0
-LIFETIME_MS = 30_000.0
-SENDS = 12
-MAX_CARRIED = 8
+CHECK_INTERVAL_MS = 500.0
+CONFIRM_INTERVAL_MS = 10_000.0
+DEPARTURE_LIFETIME_MS = 30_000.0
+MAX_SENDS = 12
+MAX_PER_MESSAGE = 8
 AGE_STEP_MS = 100.0
 
 
 @attrs.define(kw_only=True)
 class _Departure:
     confirmed_at: Instant
-    sends_left: int = SENDS
+    sends_left: int = MAX_SENDS
 
 
 class Departures(Service, Rider):
-    """Joins the host list, refusals, load answers and peers' word.
+    """Combines the host list, refusals, load answers and peers' reports.
 
-    The list lags by seconds, so the first refusal or load answer is usually
-    faster; the list names those that nobody calls. A word lives 30 s unless
-    it is confirmed, because a server may come back under its name.
+    The host list lags by seconds, so the first refusal or load answer is
+    usually faster; the list covers servers that no daemon calls. A departure
+    expires after 30 s unless it is confirmed, because a server may return
+    under the same name.
     """
 
     urgent = True
@@ -70,35 +71,35 @@
         self._router = router
         self._configuration = configuration
         self._leaving: dict[str, _Departure] = {}
-        self._read_at: Instant = -math.inf
+        self._list_read_at: Instant = -math.inf
         members.ride("leaving", self)
 
     def mark_leaving(self, name: str) -> None:
-        """Notes that a backend server leaves and tells other daemons."""
-        self._take(name, self._clock.now())
+        """Records a leaving backend server and notifies other daemons."""
+        self._record(name, self._clock.now())
 
     async def run(self) -> None:
-        """Looks at refusals often and at the host list in turn."""
+        """Polls refusals and, if this daemon is a reader, the host list."""
         interval = READ_INTERVAL_MS
         while True:
             for name in self._router.take_refusals():
                 self.mark_leaving(name)
-            self._forget_old()
+            self._drop_expired()
             now = self._clock.now()
-            if now - self._read_at >= interval and self._is_reader():
-                self._read_at = now
-                await self._read_list()
+            if now - self._list_read_at >= interval and self._is_reader():
+                self._list_read_at = now
+                await self._read_host_list()
                 jitter = self._rng.uniform(-READ_JITTER, READ_JITTER)
                 interval = READ_INTERVAL_MS * (1 + jitter)
-            await self._clock.sleep(LOOK_INTERVAL_MS)
+            await self._clock.sleep(CHECK_INTERVAL_MS)
 
     def write(self, receiver: Member | None) -> Any:
-        """Returns the departures that were passed on least."""
+        """Returns the departures that were sent least often."""
         now = self._clock.now()
         chosen = sorted(
             (item for item in self._leaving.items() if item[1].sends_left > 0),
             key=lambda item: -item[1].sends_left,
-        )[:MAX_CARRIED]
+        )[:MAX_PER_MESSAGE]
         for _, departure in chosen:
             departure.sends_left -= 1
         return [
@@ -107,49 +108,49 @@
         ] or None
 
     def read(self, sender: Member, value: Any) -> None:
-        """Takes what a sender knows."""
+        """Merges departures reported by another daemon."""
         now = self._clock.now()
         for name, age in value:
-            self._take(str(name), now - float(age) * AGE_STEP_MS)
+            self._record(str(name), now - float(age) * AGE_STEP_MS)
 
-    def _take(self, name: str, confirmed_at: Instant) -> None:
+    def _record(self, name: str, confirmed_at: Instant) -> None:
         known = self._leaving.get(name)
-        if known and confirmed_at - known.confirmed_at < CONFIRM_EVERY_MS:
+        if known and confirmed_at - known.confirmed_at < CONFIRM_INTERVAL_MS:
             return
-        if self._clock.now() - confirmed_at > LIFETIME_MS:
+        if self._clock.now() - confirmed_at > DEPARTURE_LIFETIME_MS:
             return
         self._leaving[name] = _Departure(confirmed_at=confirmed_at)
         self._router.mark_leaving(name)
         if known is None:
             self._members.hurry()
 
-    def _forget_old(self) -> None:
-        oldest = self._clock.now() - LIFETIME_MS
+    def _drop_expired(self) -> None:
+        oldest = self._clock.now() - DEPARTURE_LIFETIME_MS
         for name, departure in list(self._leaving.items()):
             if departure.confirmed_at < oldest:
                 del self._leaving[name]
 
     def _is_reader(self) -> bool:
         own = self._members.own
-        here = [
+        local = [
             member.name
             for member in self._members.all()
             if member.data_centre == own.data_centre
             and member.state is MemberState.LIVE
         ]
-        first = rank("host-list", here)[:READERS_A_DATA_CENTRE]
-        return own.name in first
+        readers = rank("host-list", local)[:READERS_PER_DATA_CENTRE]
+        return own.name in readers
 
-    async def _read_list(self) -> None:
+    async def _read_host_list(self) -> None:
         listed = await self._host_list.read()
         if isinstance(listed, Err):
             return
-        by_name, by_address = self._servers()
+        by_name, by_address = self._known_servers()
         for host in listed.ok_value:
             if host.state is HostState.LEAVING:
-                self._take_host(host, by_name, by_address)
+                self._record_host(host, by_name, by_address)
 
-    def _take_host(
+    def _record_host(
         self,
         host: ListedHost,
         by_name: set[str],
@@ -160,7 +161,7 @@
         elif host.address in by_address:
             self.mark_leaving(by_address[host.address])
 
-    def _servers(self) -> tuple[set[str], dict[str, str]]:
+    def _known_servers(self) -> tuple[set[str], dict[str, str]]:
         servers = [
             server
             for pool in self._configuration().pools.values()
--- a/cactusdyke/load/readings.py
+++ b/cactusdyke/load/readings.py
@@ -1,4 +1,4 @@
-"""What is known of the load of a data centre's replicas."""
+"""Latest load readings of a data centre's replicas."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 AGE_STEP_MS = 100.0
 MAX_BYTE = 255
-BYTES_A_REPLICA = 4
-NEWER_BY_MS = 2 * AGE_STEP_MS
+BYTES_PER_REPLICA = 4
+MIN_NEWER_MS = 2 * AGE_STEP_MS
 
 
 @attrs.frozen(kw_only=True)
@@ -29,9 +29,9 @@
     """One replica's load.
 
     Attributes:
-        running: Requests that it was running.
-        waiting: Requests that it had queued.
-        model: Place of its busiest model among its pool's, or None.
+        running: Requests running.
+        waiting: Requests queued.
+        model_index: Index of its busiest model in the pool's models, or None.
         measured_at: Instant on this daemon's clock.
     """
 
@@ -44,9 +44,9 @@
 class Readings(Rider):
     """The latest reading of each replica, shared inside a data centre.
 
-    A reading travels as four bytes in the order of the replicas' names: the
-    counts, the busiest model and its age. Ages are passed on, never times of
-    day, because hosts' clocks differ; each passing on rounds an age up.
+    A reading is encoded as four bytes, in the order of the replicas' names:
+    the counts, the busiest model and the reading's age. Ages are sent instead
+    of times of day, because hosts' clocks differ; each send rounds them up.
     """
 
     def __init__(
@@ -68,24 +68,24 @@
         return self._readings.get(name)
 
     def age_ms(self, name: str) -> float:
-        """Returns how old a replica's latest reading is, or infinity."""
+        """Returns the age of a replica's latest reading, or infinity."""
         reading = self._readings.get(name)
         if reading is None:
             return math.inf
         return self._clock.now() - reading.measured_at
 
     def add(self, name: str, reading: Reading) -> None:
-        """Takes a reading that is newer than the one known."""
+        """Records a reading if it is newer than the known one."""
         known = self._readings.get(name)
-        if known and reading.measured_at < known.measured_at + NEWER_BY_MS:
+        if known and reading.measured_at < known.measured_at + MIN_NEWER_MS:
             return
         self._readings[name] = reading
         self._sink(name, reading)
 
     def drop_removed(self) -> None:
-        """Drops replicas that the configuration no longer names."""
-        places = self._replicas().positions
-        for name in [n for n in self._readings if n not in places]:
+        """Drops the readings of replicas that are no longer configured."""
+        positions = self._replicas().positions
+        for name in [n for n in self._readings if n not in positions]:
             del self._readings[name]
 
     def write(self, receiver: Member | None) -> Any:
@@ -96,14 +96,14 @@
         if not self._readings:
             return None
         now = self._clock.now()
-        data = bytearray(b"\xff" * (BYTES_A_REPLICA * len(replicas.replicas)))
+        data = bytearray(b"\xff" * (BYTES_PER_REPLICA * len(replicas.replicas)))
         for name, reading in self._readings.items():
-            place = replicas.positions.get(name)
+            position = replicas.positions.get(name)
             age = math.ceil((now - reading.measured_at) / AGE_STEP_MS)
-            if place is None or age >= MAX_BYTE:
+            if position is None or age >= MAX_BYTE:
                 continue
-            start = place * BYTES_A_REPLICA
-            data[start : start + BYTES_A_REPLICA] = bytes(
+            start = position * BYTES_PER_REPLICA
+            data[start : start + BYTES_PER_REPLICA] = bytes(
                 (
                     min(reading.running, MAX_BYTE),
                     min(reading.waiting, MAX_BYTE),
@@ -116,18 +116,18 @@
         return [replicas.key, base64.b64encode(data).decode()]
 
     def read(self, sender: Member, value: Any) -> None:
-        """Takes those of a sender's readings that are newer."""
+        """Merges newer readings reported by another daemon."""
         key, text = value
         replicas = self._replicas()
-        # Another revision is in force at the sender; by place its readings
-        # would be taken for those of other replicas.
+        # The sender uses another revision, whose order of replicas differs; its
+        # readings would be attributed to the wrong replicas.
         if key != replicas.key:
             return
         data = base64.b64decode(text)
         now = self._clock.now()
-        for place, replica in enumerate(replicas.replicas):
+        for index, replica in enumerate(replicas.replicas):
             running, waiting, model, age = data[
-                place * BYTES_A_REPLICA : (place + 1) * BYTES_A_REPLICA
+                index * BYTES_PER_REPLICA : (index + 1) * BYTES_PER_REPLICA
             ]
             if age == MAX_BYTE:
                 continue
--- a/cactusdyke/load/replicas.py
+++ b/cactusdyke/load/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of one configuration, and who reads their load."""
+"""Replicas of a configuration, and the daemons that read their load."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 @attrs.frozen(kw_only=True)
 class DataCentreReplicas:
-    """The replicas of one data centre in the order of their names.
+    """The replicas of one data centre, sorted by name.
 
     Attributes:
-        replicas: All of them.
-        places: The place of each name in that order.
-        key: A hash of the names and models; equal keys mean equal order.
+        replicas: The replicas.
+        positions: The position of each name in that order.
+        key: Hash of the names and models; equal keys imply the same order.
     """
 
     replicas: tuple[Replica, ...]
@@ -43,7 +43,7 @@
 def in_data_centre(
     configuration: Configuration, data_centre: str
 ) -> DataCentreReplicas:
-    """Returns the replicas that stand in a data centre."""
+    """Returns the replicas of a data centre."""
     replicas = sorted(
         (
             Replica(pool=pool.name, server=server, models=pool.models)
@@ -62,7 +62,7 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Returns names in the rendezvous order of a key, the first one first."""
+    """Returns names by descending rendezvous hash with a key."""
     return sorted(
         names,
         key=lambda name: xxhash.xxh64_intdigest(f"{key} {name}".encode()),
@@ -71,20 +71,20 @@
 
 
 def assigned(
-    replicas: Sequence[Replica], own: str, members: Sequence[Member]
+    replicas: Sequence[Replica], daemon: str, members: Sequence[Member]
 ) -> list[Replica]:
     """Returns the replicas whose load one daemon reads.
 
-    Each replica belongs to the daemon with the highest hash, so that a
-    daemon's end moves only its own replicas, evenly, to the others.
+    Each replica is assigned to the daemon with the highest rendezvous hash,
+    so that only the replicas of a stopped daemon move, spread evenly over the
+    others.
 
-    A daemon that is leaving is no member any more, but serves on for a while.
-    Where there is no other, it goes on reading (seen as a daemon that ended in
-    its planned stop with requests in flight).
+    A leaving daemon is no longer a member, but still serves requests. If no
+    member is left, it keeps running and reads nothing.
     """
     names = [member.name for member in members]
-    # The last daemon that stops finds no serving member, itself included; to
-    # choose among none would end it while requests are still in flight.
+    # When the last daemon stops, no live member is left, itself included. An
+    # error here would end it while requests are still in flight.
     if not names:
         return []
     return [
@@ -95,7 +95,7 @@
             key=lambda n: xxhash.xxh64_intdigest(
                 f"{replica.server.name} {n}".encode()
             ),
-            default=own,
+            default=daemon,
         )
-        == own
+        == daemon
     ]
