--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps of load reports and departures, in virtual time."""
+"""Steps for load reports and departures, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from features.support.load_fleet import LoadFleet
 from standins.virtual import run_virtual
 
-WARM_MS = 15_000.0
+SETTLE_MS = 15_000.0
 
 
-class _Hosts(HostList):
+class _CountingHostList(HostList):
     def __init__(self):
         self.hosts = ()
         self.reads = 0
@@ -29,7 +29,7 @@
 
 
 def _start(context, replicas, daemons, hosts=None):
-    context.parts = []
+    context.actions = []
     context.sizes = (replicas, daemons)
     context.hosts = hosts
 
@@ -41,9 +41,9 @@
             if context.hosts:
                 load.host_list = context.hosts
             load.fleet.start_all(daemons)
-            await load.fleet.hub.clock.sleep(WARM_MS)
-            for part in context.parts:
-                await part(load)
+            await load.fleet.hub.clock.sleep(SETTLE_MS)
+            for action in context.actions:
+                await action(load)
 
     run_virtual(run)
 
@@ -57,7 +57,7 @@
     "load of {replicas:d} replicas read by {daemons:d} daemons with a host list"
 )
 def given_hosts(context, replicas, daemons):
-    _start(context, replicas, daemons, _Hosts())
+    _start(context, replicas, daemons, _CountingHostList())
 
 
 @then("load readings are at most {seconds:d} seconds old at every daemon")
@@ -67,33 +67,35 @@
             await load.fleet.hub.clock.sleep(700)
             assert load.ages()[-1] <= seconds * 1000, load.ages()[-5:]
 
-    context.parts.append(check)
+    context.actions.append(check)
 
 
 @then("load is read at most 3 times a second by each daemon")
 def then_reads(context):
     async def check(load):
-        before = {n: _reads(d) for n, d in load.fleet.daemons.items()}
+        before = {n: _read_count(d) for n, d in load.fleet.daemons.items()}
         await load.fleet.hub.clock.sleep(10_000)
         for name, daemon in load.fleet.daemons.items():
-            assert 0 < _reads(daemon) - before[name] <= 33
+            assert 0 < _read_count(daemon) - before[name] <= 33
 
-    context.parts.append(check)
+    context.actions.append(check)
 
 
-def _reads(daemon):
+def _read_count(daemon):
     return daemon.traffic.sent_of("load")
 
 
-@then("the load book of {name} holds what {replica} reported")
-def then_book(context, name, replica):
+@then("the load tracker of {name} has the load that {replica} reported")
+def then_tracked(context, name, replica):
     async def check(load):
         load.engines[replica].waiting = 7
         await load.fleet.hub.clock.sleep(6_000)
-        book = load.router_of(name).load
-        assert 3 < book.outstanding(replica) <= 7, book.outstanding(replica)
+        tracker = load.router_of(name).load
+        assert 3 < tracker.outstanding(replica) <= 7, tracker.outstanding(
+            replica
+        )
 
-    context.parts.append(check)
+    context.actions.append(check)
     _finish(context)
 
 
@@ -103,7 +105,7 @@
         load.fleet.kill(name)
         await load.fleet.hub.clock.sleep(12_000)
 
-    context.parts.append(kill)
+    context.actions.append(kill)
 
 
 @then("load readings are at most {seconds:d} seconds old at every daemon again")
@@ -118,19 +120,19 @@
         await load.fleet.leave(name)
         await load.fleet.hub.clock.sleep(1_500)
 
-    context.parts.append(stop)
+    context.actions.append(stop)
 
 
-@then("load collector {name} goes on running and reads nothing")
+@then("load collector {name} keeps running and reads nothing")
 def then_idle(context, name):
     async def check(load):
         daemon = load.fleet.daemons[name]
-        before = _reads(daemon)
+        before = _read_count(daemon)
         await load.fleet.hub.clock.sleep(5_000)
-        assert _reads(daemon) == before
+        assert _read_count(daemon) == before
         assert load.fleet.listed(name) == set()
 
-    context.parts.append(check)
+    context.actions.append(check)
     _finish(context)
 
 
@@ -138,14 +140,14 @@
 def when_busy(context, count, model, replica):
     async def busy(load):
         engine = load.engines[replica]
-        plain = engine.load
-        engine.load = lambda: {**plain(), "running": count, "model": model}
+        original = engine.load
+        engine.load = lambda: {**original(), "running": count, "model": model}
         await load.fleet.hub.clock.sleep(20_000)
 
-    context.parts.append(busy)
+    context.actions.append(busy)
 
 
-@then("load of {model} is known to be {count:d} at every daemon")
+@then("load of {model} is {count:d} at every daemon")
 def then_aggregate(context, model, count):
     async def check(load):
         for name in load.fleet.daemons:
@@ -156,11 +158,11 @@
             ]
             assert found == [count], (name, found)
 
-    context.parts.append(check)
+    context.actions.append(check)
     _finish(context)
 
 
-@when("load reading comes in the order of another revision")
+@when("load readings arrive in the order of another revision")
 def when_other_order(context):
     async def send(load):
         name = "d-0"
@@ -173,32 +175,32 @@
             attrs.evolve(load.configuration, pools={"engine": shorter}),
             load.fleet.place(name)[0],
         )
-        context.seen = []
-        sink = collector.readings.add
+        context.recorded = []
+        add = collector.readings.add
         collector.readings.add = lambda n, r: (
-            context.seen.append(r.waiting),
-            sink(n, r),
+            context.recorded.append(r.waiting),
+            add(n, r),
         )
         data = bytes((0, 99, 255, 0)) * len(other.replicas)
         value = [other.key, base64.b64encode(data).decode()]
         sender = load.fleet.daemons["d-3"].members.own
         collector.readings.read(sender, value)
 
-    context.parts.append(send)
+    context.actions.append(send)
 
 
-@then("load of no replica was taken from it")
+@then("load of no replica was taken from them")
 def then_none_taken(context):
     _finish(context)
-    assert 99 not in context.seen
+    assert 99 not in context.recorded
 
 
-@when("load replica {replica} begins to leave")
+@when("load replica {replica} starts to leave")
 def when_leaves(context, replica):
     async def leave(load):
         load.engines[replica].leaving = True
 
-    context.parts.append(leave)
+    context.actions.append(leave)
 
 
 @when("load replica {replica} refuses a call of {name} as leaving")
@@ -210,10 +212,10 @@
         failure = Failure(kind=FailureKind.BACKEND_LEAVING, detail="leaving")
         router.record_failure(pool, server, failure)
 
-    context.parts.append(refuse)
+    context.actions.append(refuse)
 
 
-@when("load host list names {replica} as leaving")
+@when("load host list shows {replica} as leaving")
 def when_listed(context, replica):
     async def listed(load):
         context.before = context.hosts.reads
@@ -226,7 +228,7 @@
             ),
         )
 
-    context.parts.append(listed)
+    context.actions.append(listed)
 
 
 @then(
@@ -243,7 +245,7 @@
             limit_ms=seconds * 1000,
         )
 
-    context.parts.append(check)
+    context.actions.append(check)
     if not context.hosts:
         _finish(context)
 
@@ -255,11 +257,11 @@
         await load.fleet.hub.clock.sleep(20_000)
         assert 0 < context.hosts.reads - before < 20 * count
 
-    context.parts.append(check)
+    context.actions.append(check)
     _finish(context)
 
 
-@when("load replica {replica} leaves for {seconds:d} seconds and comes back")
+@when("load replica {replica} leaves for {seconds:d} seconds and returns")
 def when_comes_back(context, replica, seconds):
     async def leave(load):
         load.engines[replica].leaving = True
@@ -267,7 +269,7 @@
         assert load.router_of("d-0").is_leaving(replica)
         load.engines[replica].leaving = False
 
-    context.parts.append(leave)
+    context.actions.append(leave)
 
 
 @then(
@@ -286,16 +288,16 @@
             limit_ms=seconds * 1000,
         )
 
-    context.parts.append(check)
+    context.actions.append(check)
     _finish(context)
 
 
-@when("the load reports case of the bench runs tiny")
+@when("the load reports case of the benchmarks runs in its smallest size")
 def when_bench(context):
     context.rows = case_load_reports.run_case(tiny=True)
 
 
-@then("load collectors read less than all reading all")
+@then("load collectors send fewer messages than if all read all")
 def then_less(context):
     rows = {(row["version"], str(row["daemons"])): row for row in context.rows}
     last = "350 by slope"
--- a/features/support/load_fleet.py
+++ b/features/support/load_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons that collect load from replicas, over one hub."""
+"""Daemons that read the load of replicas, over one simulated network."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoadFleet:
-    """A member fleet and the replicas that it reads."""
+    """A fleet of daemons and the replicas whose load they read."""
 
     def __init__(
         self, *, replicas: int, collector: type = LoadCollector, seed: int = 0
@@ -44,7 +44,7 @@
         await self.fleet.__aexit__(*error)
 
     def collector_of(self, name: str) -> LoadCollector:
-        """Returns a daemon's collector."""
+        """Returns a daemon's load collector."""
         return self.fleet.daemons[name].services[1]
 
     def router_of(self, name: str) -> Router:
@@ -52,7 +52,7 @@
         return self.fleet.daemons[name].services[2]
 
     def ages(self) -> list[float]:
-        """Returns the age of each reading at each daemon of its centre."""
+        """Returns the age of each reading at each daemon of its data centre."""
         pool = self.configuration.pools["engine"]
         return sorted(
             self.collector_of(name).readings.age_ms(server.name)
