--- a/cactusdyke/load/collector.py
+++ b/cactusdyke/load/collector.py
@@ -56,7 +56,7 @@
         self._client = client
         self._members = members
         self._departures = departures
-        self._load_book = load_tracker
+        self._load_tracker = load_tracker
         self._configuration = configuration
         self._data_centre = members.own.data_centre
         self._replicas: dict[str, DataCentreReplicas] = {}
@@ -68,7 +68,7 @@
             clock=clock,
             data_centre=self._data_centre,
             replicas=self._local_replicas,
-            sink=self._track_load,
+            on_reading=self._track_load,
         )
         self.aggregates = Aggregates(
             clock=clock,
@@ -171,7 +171,7 @@
             waiting=reading.waiting,
             age_ms=now - reading.measured_at,
         )
-        self._load_book.record_report(name, report, now)
+        self._load_tracker.record_report(name, report, now)
 
     def _local_replicas(self) -> DataCentreReplicas:
         self._replicas_by_data_centre()
--- a/cactusdyke/load/readings.py
+++ b/cactusdyke/load/readings.py
@@ -55,12 +55,12 @@
         clock: Clock,
         data_centre: str,
         replicas: Callable[[], DataCentreReplicas],
-        sink: Callable[[str, Reading], None],
+        on_reading: Callable[[str, Reading], None],
     ) -> None:
         self._clock = clock
         self._data_centre = data_centre
         self._replicas = replicas
-        self._sink = sink
+        self._on_reading = on_reading
         self._readings: dict[str, Reading] = {}
 
     def find(self, name: str) -> Reading | None:
@@ -80,7 +80,7 @@
         if known and reading.measured_at < known.measured_at + MIN_NEWER_MS:
             return
         self._readings[name] = reading
-        self._sink(name, reading)
+        self._on_reading(name, reading)
 
     def drop_removed(self) -> None:
         """Drops the readings of replicas that are no longer configured."""
--- a/cactusdyke/routing/backend_client.py
+++ b/cactusdyke/routing/backend_client.py
@@ -119,9 +119,9 @@
         self, incoming: Incoming
     ) -> AsyncGenerator[TokenBatch | StreamEnd, None]:
         """Yields the tokens of each chunk, then the end event."""
-        rest = b""
+        remainder = b""
         async for chunk in incoming.chunks():
-            *lines, rest = (rest + chunk).split(b"\n")
+            *lines, remainder = (remainder + chunk).split(b"\n")
             tokens: list[Token] = []
             end: StreamEnd | None = None
             for line in lines:
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -176,10 +176,10 @@
             load.fleet.place(name)[0],
         )
         context.recorded = []
-        add = collector.readings.add
+        original_add = collector.readings.add
         collector.readings.add = lambda n, r: (
             context.recorded.append(r.waiting),
-            add(n, r),
+            original_add(n, r),
         )
         data = bytes((0, 99, 255, 0)) * len(other.replicas)
         value = [other.key, base64.b64encode(data).decode()]
