--- a/cactusdyke/limits/pools.py
+++ b/cactusdyke/limits/pools.py
@@ -69,9 +69,9 @@
         late_ms = 0.0
         for stage in pipeline.stages:
             name = (pipeline.name, stage.name)
-            typical = self._timings.quantile(name, timings.TYPICAL)
+            typical = self._timings.quantile(name, timings.P50)
             took = stage.expected_ms if typical is None else typical
-            late = self._timings.quantile(name, timings.LATE)
+            late = self._timings.quantile(name, timings.P95)
             work[stage.pool] = work.get(stage.pool, 0.0) + max(took, 0.1)
             late_ms += stage.expected_ms if late is None else late
         return Claim(work_ms=work, total_ms=sum(work.values()), late_ms=late_ms)
--- a/cactusdyke/pipeline/__init__.py
+++ b/cactusdyke/pipeline/__init__.py
@@ -1,4 +1,4 @@
-"""Pipelines: running stages under one deadline."""
+"""Runs the stages of a pipeline under one deadline."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from cactusdyke.observe.metrics import Metrics
 from cactusdyke.observe.tracing import Tracing
 from cactusdyke.pipeline.attempts import Attempts
-from cactusdyke.pipeline.budgets import Budgets
+from cactusdyke.pipeline.budgets import AttemptBudgets
 from cactusdyke.pipeline.deadline import DeadlineShares
-from cactusdyke.pipeline.retries import Retries
+from cactusdyke.pipeline.retries import RetryPolicy
 from cactusdyke.pipeline.runner import PipelineRunner
 from cactusdyke.pipeline.streamed_stage import StreamedStage
 from cactusdyke.pipeline.timings import Timings
@@ -25,7 +25,7 @@
 
 
 def setup(app: Application) -> ExtensionMetadata:
-    """Registers the pipeline runner."""
+    """Registers the `timings` and `pipeline` services."""
     app.setup_extension("cactusdyke.observe.extension")
     app.setup_extension("cactusdyke.routing")
     app.add_service("timings", Timings(clock=app.clock))
@@ -39,9 +39,9 @@
     router = app.service("router", Router)
     tracing = app.service("tracing", Tracing)
     timings = app.service("timings", Timings)
-    budgets = Budgets()
+    budgets = AttemptBudgets()
     shares = DeadlineShares(clock=clock, timings=timings)
-    retries = Retries(
+    retries = RetryPolicy(
         clock=clock,
         rng=app.rng,
         router=router,
--- a/cactusdyke/pipeline/attempts.py
+++ b/cactusdyke/pipeline/attempts.py
@@ -1,4 +1,4 @@
-"""Makes single attempts and accounts for them."""
+"""Runs single attempts at backend servers and records their outcome."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from cactusdyke.observe.cost import CostBook
     from cactusdyke.observe.metrics import Metrics
     from cactusdyke.observe.tracing import Tracing
-    from cactusdyke.pipeline.budgets import Budgets
+    from cactusdyke.pipeline.budgets import AttemptBudgets
     from cactusdyke.pipeline.timings import Timings
     from cactusdyke.routing.backend_client import BackendClient
     from cactusdyke.routing.messages import LoadReport, StageAnswer
@@ -32,17 +32,19 @@
 
 @attrs.define(kw_only=True)
 class AttemptRecord:
-    """How one attempt is going.
+    """State of one attempt at a stage.
 
     Attributes:
-        work: The stage that it is for.
-        server: Where it was sent.
-        call: What was sent.
-        traceparent: Names the attempt's span to the backend server.
-        failure: How it failed, None while it has not.
-        succeeded: Whether it was answered whole.
-        typical_ms: The part of its time that others are held against.
-        busy_ms: How long the backend server says it was busy.
+        work: The stage that the attempt is for.
+        server: The backend server that is called.
+        call: The call that is sent.
+        traceparent: Trace context header of the attempt's span.
+        failure: Why the attempt failed, None while it has not.
+        succeeded: Whether a complete answer arrived.
+        typical_ms: Time to the first token of a stream, which is compared
+            with other attempts in place of the whole duration; None for an
+            answer that is not streamed.
+        busy_ms: Busy time that the backend server reported.
     """
 
     work: StageWork
@@ -54,18 +56,18 @@
     typical_ms: float | None = None
     busy_ms: float = 0.0
 
-    def fail(self, failure: Failure) -> None:
-        """Notes that the attempt failed."""
+    def set_failed(self, failure: Failure) -> None:
+        """Records that the attempt failed."""
         self.failure = failure
 
-    def succeed(self, busy_ms: float) -> None:
-        """Notes that the attempt was answered whole."""
+    def set_succeeded(self, busy_ms: float) -> None:
+        """Records that a complete answer arrived."""
         self.succeeded = True
         self.busy_ms = busy_ms
 
 
 class Attempts:
-    """One attempt at a time: span, time-out, cost, metrics, routing."""
+    """Runs attempts, with their span, time-out, cost, metrics and routing."""
 
     def __init__(
         self,
@@ -77,7 +79,7 @@
         metrics: Metrics,
         cost: CostBook,
         timings: Timings,
-        budgets: Budgets,
+        budgets: AttemptBudgets,
     ) -> None:
         self._clock = clock
         self._router = router
@@ -90,10 +92,10 @@
 
     @property
     def client(self) -> BackendClient:
-        """Calls backend servers."""
+        """The client that calls backend servers."""
         return self._client
 
-    async def whole(
+    async def run_whole(
         self,
         work: StageWork,
         server: BackendServer,
@@ -102,9 +104,9 @@
         timeout_ms: float,
         fresh: bool,
     ) -> Result[StageAnswer, Failure]:
-        """Makes one attempt at a whole answer."""
-        answer: Result[StageAnswer, Failure] = Err(silent(server))
-        with self.account(work, server, call) as record:
+        """Makes one attempt at an answer that is not streamed."""
+        answer: Result[StageAnswer, Failure] = Err(timeout_failure(server))
+        with self.track(work, server, call) as record:
             with self._clock.timeout(timeout_ms):
                 answer = await self._client.call(
                     server,
@@ -115,24 +117,24 @@
                 )
             match answer:
                 case Ok(value):
-                    record.succeed(value.busy_ms)
-                    self.take_report(server, value.load)
+                    record.set_succeeded(value.busy_ms)
+                    self.record_load(server, value.load)
                 case Err(failure):
-                    record.fail(failure)
+                    record.set_failed(failure)
         return answer
 
-    def take_report(
+    def record_load(
         self, server: BackendServer, report: LoadReport | None
     ) -> None:
-        """Hands a report that rode on an answer to the load book."""
+        """Records a load report that came with an answer, if there is one."""
         if report is not None:
             self._router.load.report(server.name, report, self._clock.now())
 
     @contextlib.contextmanager
-    def account(
+    def track(
         self, work: StageWork, server: BackendServer, call: StageCall
     ) -> Iterator[AttemptRecord]:
-        """Accounts for an attempt made in the block, also a cancelled one."""
+        """Records the attempt made in the block, even if it is cancelled."""
         span = self._tracing.start(
             f"attempt {call.attempt}", work.span, backend_server=server.name
         )
@@ -147,22 +149,22 @@
             with self._router.in_flight(server):
                 yield record
         finally:
-            self._close(record, self._clock.now() - began)
+            self._finish(record, self._clock.now() - began)
             span.end()
 
-    def _close(self, record: AttemptRecord, took_ms: float) -> None:
+    def _finish(self, record: AttemptRecord, took_ms: float) -> None:
         work, server = record.work, record.server
         if record.succeeded:
             outcome = "ok"
-            work.history.add(Ran.RAN)
-            self._succeeded(record, took_ms)
+            work.history.record(Ran.RAN)
+            self._on_success(record, took_ms)
         elif record.failure is not None:
             outcome = "failed"
-            work.history.add(record.failure.ran)
-            self._failed(record, record.failure)
+            work.history.record(record.failure.ran)
+            self._on_failure(record, record.failure)
         else:
             outcome = "cancelled"
-            work.history.add(Ran.UNKNOWN)
+            work.history.record(Ran.UNKNOWN)
         self._metrics.attempts.labels(work.pool.name, outcome).inc()
         self._cost.add(
             work.pipeline.name,
@@ -171,21 +173,21 @@
             price=server.price_per_second,
         )
 
-    def _succeeded(self, record: AttemptRecord, took_ms: float) -> None:
+    def _on_success(self, record: AttemptRecord, took_ms: float) -> None:
         work, server = record.work, record.server
         self._router.succeeded(server)
-        self._budgets.succeeded(work.pool.name)
+        self._budgets.record_success(work.pool.name)
         if record.call.resume_from:
             return
         seen_ms = took_ms if record.typical_ms is None else record.typical_ms
-        typical = self._timings.quantile(_pace(record), timings.TYPICAL)
+        typical = self._timings.quantile(_timing_key(record), timings.P50)
         if typical:
             self._router.speed.observe(server.name, seen_ms / typical)
-        self._timings.record(_pace(record), seen_ms)
+        self._timings.record(_timing_key(record), seen_ms)
         if record.typical_ms is not None:
-            self._timings.record(work.timing, took_ms)
+            self._timings.record(work.timing_key, took_ms)
 
-    def _failed(self, record: AttemptRecord, failure: Failure) -> None:
+    def _on_failure(self, record: AttemptRecord, failure: Failure) -> None:
         work, server, call = record.work, record.server, record.call
         self._router.failed(work.pool, server, failure)
         dropped = failure.kind is FailureKind.BROKEN_ANSWER
@@ -203,23 +205,23 @@
         )
 
 
-def first_part(work: StageWork) -> tuple[str, str, str]:
-    """Returns the name under which times to the first token are kept."""
-    return (*work.timing, "first")
+def first_token_timing(work: StageWork) -> tuple[str, str, str]:
+    """Returns the key of the stage's times to the first token."""
+    return (*work.timing_key, "first")
 
 
-def gap(work: StageWork) -> tuple[str, str, str]:
-    """Returns the name under which times between tokens are kept."""
-    return (*work.timing, "gap")
+def token_gap_timing(work: StageWork) -> tuple[str, str, str]:
+    """Returns the key of the stage's times between tokens."""
+    return (*work.timing_key, "gap")
 
 
-def _pace(record: AttemptRecord) -> tuple[str, ...]:
+def _timing_key(record: AttemptRecord) -> tuple[str, ...]:
     if record.typical_ms is None:
-        return record.work.timing
-    return first_part(record.work)
+        return record.work.timing_key
+    return first_token_timing(record.work)
 
 
-def silent(server: BackendServer) -> Failure:
+def timeout_failure(server: BackendServer) -> Failure:
     """Returns the failure of an attempt that timed out."""
     return Failure(
         kind=FailureKind.CONNECTION_LOST,
--- a/cactusdyke/pipeline/budgets.py
+++ b/cactusdyke/pipeline/budgets.py
@@ -1,67 +1,71 @@
-"""Budgets of extra attempts, as a share of recent successes."""
+"""Retry and hedge budgets, as a share of recent successes."""
 
 from __future__ import annotations
 
 import attrs
 
 RETRY_SHARE = 0.1
-RETRY_RESERVE = 10.0
+INITIAL_RETRY_BALANCE = 10.0
 HEDGE_SHARE = 0.045
-HEDGE_RESERVE = 1.0
-MOST_SAVED = 20.0
+INITIAL_HEDGE_BALANCE = 1.0
+MAX_BALANCE = 20.0
 
 
 @attrs.define(kw_only=True)
-class ExtraAttempts:
-    """Extra attempts that one pool has earned.
+class AttemptBudget:
+    """Budget of extra attempts at the backend servers of one pool.
 
-    In an outage nothing succeeds, so nothing is earned, and retries don't
-    multiply the load on what is left.
+    In an outage no attempt succeeds, so the budget runs out and retries do
+    not multiply the load on the remaining backend servers.
 
     Attributes:
-        share: What one success earns.
-        balance: What may be spent.
+        share: Extra attempts that one success earns.
+        balance: Extra attempts that may still be made.
     """
 
     share: float
     balance: float
 
     def earn(self) -> None:
-        """Notes a success."""
-        self.balance = min(self.balance + self.share, MOST_SAVED)
+        """Adds what one success earns, up to the maximum balance."""
+        self.balance = min(self.balance + self.share, MAX_BALANCE)
 
     def spend(self) -> bool:
-        """Returns whether an extra attempt may be made, and counts it."""
+        """Returns whether an extra attempt may be made, and deducts it."""
         if self.balance < 1:
             return False
         self.balance -= 1
         return True
 
 
-class Budgets:
+class AttemptBudgets:
     """The retry and hedge budgets of each pool."""
 
     def __init__(self) -> None:
-        self._retries: dict[str, ExtraAttempts] = {}
-        self._hedges: dict[str, ExtraAttempts] = {}
+        self._retries: dict[str, AttemptBudget] = {}
+        self._hedges: dict[str, AttemptBudget] = {}
 
-    def retries(self, pool: str) -> ExtraAttempts:
+    def retries(self, pool: str) -> AttemptBudget:
         """Returns a pool's retry budget."""
         found = self._retries.get(pool)
         if found is None:
-            found = ExtraAttempts(share=RETRY_SHARE, balance=RETRY_RESERVE)
+            found = AttemptBudget(
+                share=RETRY_SHARE, balance=INITIAL_RETRY_BALANCE
+            )
             self._retries[pool] = found
         return found
 
-    def hedges(self, pool: str) -> ExtraAttempts:
+    def hedges(self, pool: str) -> AttemptBudget:
         """Returns a pool's hedge budget."""
         found = self._hedges.get(pool)
         if found is None:
-            found = ExtraAttempts(share=HEDGE_SHARE, balance=HEDGE_RESERVE)
+            found = AttemptBudget(
+                share=HEDGE_SHARE, balance=INITIAL_HEDGE_BALANCE
+            )
             self._hedges[pool] = found
         return found
 
-    def succeeded(self, pool: str) -> None:
-        """Notes a success, which earns both kinds."""
+    def record_success(self, pool: str) -> None:
+        """Adds what one success earns to both budgets of a pool."""
         self.retries(pool).earn()
         self.hedges(pool).earn()
--- a/cactusdyke/pipeline/race.py
+++ b/cactusdyke/pipeline/race.py
@@ -1,4 +1,4 @@
-"""Runs an attempt and, if it is late, another one beside it."""
+"""Runs an attempt and, if it exceeds a delay, a hedge in parallel."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Race(Generic[T]):
-    """Takes the first whole answer, and cancels whoever is still running.
+    """Returns the first successful answer and cancels the other attempt.
 
     Args:
-        clock: For the delay.
+        clock: Measures the delay.
         primary: Runs the first attempt.
-        backup: Returns a runner of the hedge when it is due, or None where
-            none may be made yet; it is then asked again after the delay.
-        drop: Takes an answer that came whole, but second.
+        backup: Returns the runner of the hedge, or None if no hedge may be
+            made yet; it is then called again after another delay.
+        drop: Releases an answer that succeeded second.
     """
 
     def __init__(
@@ -45,7 +45,11 @@
         self._failure: Err[Failure] | None = None
 
     async def run(self, delay_ms: float) -> Result[T, Failure]:
-        """Returns the first whole answer, or the last failure."""
+        """Returns the first successful answer, or the last failure.
+
+        Args:
+            delay_ms: Time from the start to the hedge, in milliseconds.
+        """
         async with anyio.create_task_group() as tasks:
             self._start(tasks, self._primary)
             runner = None
@@ -53,7 +57,7 @@
                 await self._clock.sleep(delay_ms)
                 runner = self._backup()
             self._start(tasks, runner)
-        # The group ends when an answer cancels it or all have failed.
+        # The task group ends when an answer cancels it or every attempt fails.
         if self._winner is not None:
             return self._winner
         assert self._failure is not None
@@ -71,8 +75,8 @@
         elif self._winner is None:
             self._winner = answer
         else:
-            # Both answered in the same turn of the event loop. The stage
-            # takes one result only; the second is counted and dropped.
+            # Both attempts succeeded in the same iteration of the event loop.
+            # The stage uses only the first answer; the second is dropped.
             with anyio.CancelScope(shield=True):
                 await self._drop(answer.ok_value)
             return
--- a/cactusdyke/pipeline/request.py
+++ b/cactusdyke/pipeline/request.py
@@ -1,4 +1,4 @@
-"""A request under way: its identity, its deadline and its configuration."""
+"""The context of a request: identity, deadline and configuration."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 @attrs.frozen(kw_only=True)
 class RequestContext:
-    """What every hop of a request needs to know.
+    """Data that every stage of a request uses.
 
     Attributes:
         request_id: Unique id, sent to backend servers and echoed by them.
-        customer: Whose request it is.
-        configuration: The revision that the request began with and keeps.
-        arrived: Instant at which the request was taken in.
-        deadline: Instant on this daemon's clock.
-        span: The daemon's span of the request.
+        customer: The customer that sent the request.
+        configuration: The revision in force when the request arrived; it is
+            used until the request ends.
+        arrived: Instant on this daemon's clock at which the request arrived.
+        deadline: Instant on this daemon's clock by which it must end.
+        span: The trace span of the request in this daemon.
         idempotency_key: The caller's key, if it sent one.
-        input: What the caller sent.
+        input: The input that the caller sent.
     """
 
     request_id: str
--- a/cactusdyke/pipeline/retries.py
+++ b/cactusdyke/pipeline/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether and where a stage is tried again, or hedged."""
+"""Decides whether and where a stage is retried or hedged."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
     from cactusdyke.clock import Clock
     from cactusdyke.configuration.model import BackendServer
     from cactusdyke.observe.metrics import Metrics
-    from cactusdyke.pipeline.budgets import Budgets
+    from cactusdyke.pipeline.budgets import AttemptBudgets
     from cactusdyke.pipeline.timings import Timings
     from cactusdyke.pipeline.work import StageWork
     from cactusdyke.routing.router import Router
 
 MAX_ATTEMPTS = 5
-FIRST_BACKOFF_MS = 20.0
-LONGEST_BACKOFF_MS = 500.0
+INITIAL_BACKOFF_MS = 20.0
+MAX_BACKOFF_MS = 500.0
 RETRY_AFTER_MS = 1_000
-# Hedging before this is mostly noise of the event loop.
-LEAST_HEDGE_DELAY_MS = 5.0
-# Of a stage that was not measured lately only the expected time is known.
-UNMEASURED_FACTOR = 4.0
-HEDGE_MARGIN = 1.2
-# What a late attempt counts as, in multiples of the usual time.
-LATE_RATIO = 4.0
+# Shorter delays are mostly scheduling jitter of the event loop.
+MIN_HEDGE_DELAY_MS = 5.0
+# Multiple of the expected time after which a stage without recent
+# measurements is hedged.
+UNMEASURED_HEDGE_FACTOR = 4.0
+# Multiple of the 95th percentile after which a stage is hedged.
+HEDGE_DELAY_FACTOR = 1.2
+# Slowdown recorded for an attempt that is hedged: multiple of the typical time.
+HEDGED_ATTEMPT_SLOWDOWN = 4.0
 
 
-class Retries:
-    """The rules for every attempt after the first one."""
+class RetryPolicy:
+    """Rules for the choice of backend servers, retries and hedges."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         router: Router,
         metrics: Metrics,
         timings: Timings,
-        budgets: Budgets,
+        budgets: AttemptBudgets,
     ) -> None:
         self._clock = clock
         self._rng = rng
@@ -56,11 +58,11 @@
         self._budgets = budgets
 
     def choose(self, work: StageWork) -> Result[BackendServer, Failure]:
-        """Returns where the next attempt goes.
+        """Returns the backend server for the next attempt.
 
-        Where all were tried, one of them is tried again: a connection that
-        went silent fails an attempt at a backend server that is well, and in
-        a small pool there may be no other.
+        If all were tried, one of them is tried again: a stalled connection
+        can fail an attempt at a healthy backend server, and a small pool may
+        have no other.
         """
         weight = work.context.configuration.policy.attainment_weight
         server = None
@@ -75,13 +77,14 @@
                 return Ok(server)
         return Err(_no_server(work))
 
-    async def again(self, work: StageWork, failure: Failure) -> bool:
-        """Waits for the next attempt; returns False if none may be made."""
+    async def wait_for_retry(self, work: StageWork, failure: Failure) -> bool:
+        """Waits for the backoff; returns False if no retry may be made."""
         repeatable = work.pool.calls_repeatable or failure.ran is Ran.NOT_RUN
         if not repeatable or work.attempts >= MAX_ATTEMPTS:
             return False
         pool = work.pool.name
-        # A leaving backend server did no work: asking another one adds none.
+        # A leaving backend server did no work, so a retry adds no load and does
+        # not use the budget.
         free = failure.kind is FailureKind.BACKEND_LEAVING
         if not free and not self._budgets.retries(pool).spend():
             self._metrics.retries.labels(pool, "refused").inc()
@@ -102,29 +105,34 @@
     def hedge_delay_ms(
         self, work: StageWork, timing: tuple[str, ...]
     ) -> float | None:
-        """Returns after what time to hedge, None for never."""
+        """Returns the delay in milliseconds before a hedge, None for no hedge.
+
+        Args:
+            work: The stage.
+            timing: Key of the times that the delay is derived from.
+        """
         if not work.pool.calls_repeatable:
             return None
         if len(work.pool.backend_servers) < 2:
             return None
-        late = self._timings.quantile(timing, timings.LATE)
+        late = self._timings.quantile(timing, timings.P95)
         if late is None:
-            return UNMEASURED_FACTOR * work.stage.expected_ms
-        return max(HEDGE_MARGIN * late, LEAST_HEDGE_DELAY_MS)
+            return UNMEASURED_HEDGE_FACTOR * work.stage.expected_ms
+        return max(HEDGE_DELAY_FACTOR * late, MIN_HEDGE_DELAY_MS)
 
     def hedge(
         self, work: StageWork, late: BackendServer, waited_ms: float
     ) -> BackendServer | None:
-        """Returns where a hedge goes, None where none may be made."""
-        # The late attempt is cancelled if it loses, so how slow it would have
-        # been is never seen. Without a word to the speed book the straggler
-        # would be chosen, and hedged, for ever.
-        self._router.speed.observe(late.name, LATE_RATIO)
+        """Returns the backend server for a hedge, None if none may be made."""
+        # If the late attempt loses it is cancelled, so its duration is never
+        # measured. Without this record the straggler would be chosen and
+        # hedged again and again.
+        self._router.speed.observe(late.name, HEDGED_ATTEMPT_SLOWDOWN)
         weight = work.context.configuration.policy.attainment_weight
         pool = work.pool.name
         budget = self._budgets.hedges(pool)
-        # While requests wait to begin, a hedge takes the slot of one that has
-        # no other, and what it was to replace goes on running.
+        # While requests are queued, a hedge takes a slot that a queued request
+        # needs, and the attempt that it duplicates keeps running.
         if budget.balance < 1 or self._router.is_short(pool):
             self._metrics.hedges.labels(pool, "refused").inc()
             return None
@@ -147,26 +155,25 @@
         return server
 
     def _backoff_ms(self, attempts: int) -> float:
-        longest = min(
-            FIRST_BACKOFF_MS * 2 ** (attempts - 1), LONGEST_BACKOFF_MS
-        )
+        longest = min(INITIAL_BACKOFF_MS * 2 ** (attempts - 1), MAX_BACKOFF_MS)
         return self._rng.uniform(0, longest)
 
 
-def final(work: StageWork, failure: Failure) -> Failure:
-    """Returns what the caller is told once a stage is given up."""
-    told = work.history.tell(failure)
-    if not work.pool.calls_repeatable and told.ran is not Ran.NOT_RUN:
-        told = attrs.evolve(told, kind=FailureKind.OUTCOME_UNKNOWN)
-    if told.kind in _INNER_KINDS:
-        told = attrs.evolve(told, kind=FailureKind.BACKEND_FAILED)
-    if told.retry_after_ms is None:
-        told = attrs.evolve(told, retry_after_ms=RETRY_AFTER_MS)
-    return told
+def final_failure(work: StageWork, failure: Failure) -> Failure:
+    """Returns the failure that is sent to the caller of an abandoned stage."""
+    final = work.history.apply_to(failure)
+    if not work.pool.calls_repeatable and final.ran is not Ran.NOT_RUN:
+        final = attrs.evolve(final, kind=FailureKind.OUTCOME_UNKNOWN)
+    if final.kind in _ATTEMPT_FAILURE_KINDS:
+        final = attrs.evolve(final, kind=FailureKind.BACKEND_FAILED)
+    if final.retry_after_ms is None:
+        final = attrs.evolve(final, retry_after_ms=RETRY_AFTER_MS)
+    return final
 
 
-# Kinds that speak of one attempt; a caller's remedy is another one.
-_INNER_KINDS = frozenset(
+# Kinds that describe a single attempt. The caller cannot act on them, so they
+# are replaced by BACKEND_FAILED.
+_ATTEMPT_FAILURE_KINDS = frozenset(
     {
         FailureKind.NOT_SENT,
         FailureKind.CONNECTION_LOST,
--- a/cactusdyke/pipeline/runner.py
+++ b/cactusdyke/pipeline/runner.py
@@ -1,4 +1,4 @@
-"""Runs the stages of a pipeline one after the other."""
+"""Runs the stages of a pipeline in sequence."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cactusdyke.configuration import model
 from cactusdyke.errors import CactusdykeError, Failure
 from cactusdyke.kernel import Service
-from cactusdyke.pipeline.work import RanHistory, StageWork
+from cactusdyke.pipeline.work import ExecutionHistory, StageWork
 from cactusdyke.routing.messages import StreamEnd, TokenBatch
 from cactusdyke.routing.prefix_hints import prefix_of
 
@@ -26,7 +26,7 @@
 
 
 class PipelineRunner(Service):
-    """Runs pipelines, and idempotent plain services as one stage."""
+    """Runs pipelines, and idempotent plain services as single stages."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
     ) -> Result[Any, Failure]:
         """Runs every stage and returns the last one's output."""
         return await self._run_stages(
-            context, pipeline, RanHistory(), len(pipeline.stages)
+            context, pipeline, ExecutionHistory(), len(pipeline.stages)
         )
 
     async def run_service(
@@ -62,17 +62,17 @@
     async def run_stream(
         self, context: RequestContext, pipeline: Pipeline
     ) -> AsyncGenerator[TokenBatch | StreamEnd, None]:
-        """Runs every stage and yields the tokens of the last.
+        """Runs every stage and streams the tokens of the last one.
 
         Raises:
-            CactusdykeError: A stage failed for good.
+            CactusdykeError: A stage failed and may not be retried.
         """
-        history = RanHistory()
+        history = ExecutionHistory()
         last = len(pipeline.stages) - 1
         value = await self._run_stages(context, pipeline, history, last)
         if isinstance(value, Err):
             raise CactusdykeError(value.err_value)
-        with self._work(
+        with self._stage_work(
             context, pipeline, history, last, value.ok_value
         ) as work:
             meter = self._meters.start(work)
@@ -84,18 +84,20 @@
                             meter.count(len(part.tokens))
                         yield part
             finally:
-                meter.close()
+                meter.flush()
 
     async def _run_stages(
         self,
         context: RequestContext,
         pipeline: Pipeline,
-        history: RanHistory,
+        history: ExecutionHistory,
         count: int,
     ) -> Result[Any, Failure]:
         value = context.input
         for number in range(count):
-            with self._work(context, pipeline, history, number, value) as work:
+            with self._stage_work(
+                context, pipeline, history, number, value
+            ) as work:
                 answer = await self._whole_stage.run(work)
             if isinstance(answer, Err):
                 return answer
@@ -103,11 +105,11 @@
         return Ok(value)
 
     @contextlib.contextmanager
-    def _work(
+    def _stage_work(
         self,
         context: RequestContext,
         pipeline: Pipeline,
-        history: RanHistory,
+        history: ExecutionHistory,
         number: int,
         value: Any,
     ) -> Iterator[StageWork]:
--- a/cactusdyke/pipeline/stream_attempt.py
+++ b/cactusdyke/pipeline/stream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a streamed answer, from its opening to its end mark."""
+"""One attempt at a streamed answer, from its opening to its end event."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from cactusdyke.errors import CactusdykeError, Failure
-from cactusdyke.pipeline.attempts import silent
+from cactusdyke.pipeline.attempts import timeout_failure
 from cactusdyke.routing.messages import StreamEnd, TokenBatch
 from cactusdyke.transport.network import ProgressLimit
 
@@ -23,10 +23,10 @@
 
 
 class StreamAttempt:
-    """Opens a stream, gives its first part, then the others.
+    """Opens a stream and returns its parts one at a time.
 
-    It may be opened in one task and read in another, so it holds no cancel
-    scope between its calls. Whoever opened it closes it.
+    It may be opened in one task and read in another, so no cancel scope stays
+    open between calls. The caller of `open` must call `close`.
     """
 
     def __init__(
@@ -45,54 +45,54 @@
         self._server = server
         self._call = call
         self._fresh = fresh
-        self._limit = ProgressLimit(until=0.0)
+        self._progress_limit = ProgressLimit(until=0.0)
         self._stack = contextlib.AsyncExitStack()
         self._parts: AsyncGenerator[TokenBatch | StreamEnd, None] | None = None
         self._record: AttemptRecord | None = None
-        self._first: TokenBatch | StreamEnd | None = None
+        self._first_part: TokenBatch | StreamEnd | None = None
 
     @property
     def server(self) -> BackendServer:
-        """Where the attempt was sent."""
+        """The backend server that is called."""
         return self._server
 
     async def open(self, timeout_ms: float) -> Result[StreamAttempt, Failure]:
         """Waits for the first part; closes the attempt if it fails."""
-        failure: Failure | None = silent(self._server)
+        failure: Failure | None = timeout_failure(self._server)
         opened = False
         try:
             with self._clock.timeout(timeout_ms):
                 failure = await self._open(timeout_ms)
             opened = failure is None
             if failure is not None and self._record is not None:
-                self._record.fail(failure)
+                self._record.set_failed(failure)
         finally:
             if not opened:
                 await self.close()
         return Ok(self) if failure is None else Err(failure)
 
-    async def next(
+    async def next_part(
         self, timeout_ms: float
     ) -> Result[TokenBatch | StreamEnd, Failure]:
-        """Returns the next part, the first one included."""
-        if self._first is not None:
-            part, self._first = self._first, None
+        """Returns the next part, starting with the first one."""
+        if self._first_part is not None:
+            part, self._first_part = self._first_part, None
             return Ok(part)
         return await self._read(timeout_ms)
 
     async def close(self) -> None:
-        """Ends the attempt; an unfinished one closes its connection."""
+        """Ends the attempt; closes the connection of an unfinished one."""
         await self._stack.aclose()
 
     async def _open(self, timeout_ms: float) -> Failure | None:
         began = self._clock.now()
         self._record = self._stack.enter_context(
-            self._attempts.account(self._work, self._server, self._call)
+            self._attempts.track(self._work, self._server, self._call)
         )
         stream = self._attempts.client.stream(
             self._server,
             self._call,
-            limit=self._limit,
+            limit=self._progress_limit,
             fresh=self._fresh,
             traceparent=self._record.traceparent,
         )
@@ -102,7 +102,7 @@
         first = await self._read(timeout_ms)
         if isinstance(first, Err):
             return first.err_value
-        self._first = first.ok_value
+        self._first_part = first.ok_value
         self._record.typical_ms = self._clock.now() - began
         return None
 
@@ -111,13 +111,13 @@
     ) -> Result[TokenBatch | StreamEnd, Failure]:
         assert self._parts is not None
         assert self._record is not None
-        self._limit.until = self._clock.now() + timeout_ms
+        self._progress_limit.until = self._clock.now() + timeout_ms
         try:
             part = await anext(self._parts)
         except CactusdykeError as error:
-            self._record.fail(error.failure)
+            self._record.set_failed(error.failure)
             return Err(error.failure)
         if isinstance(part, StreamEnd):
-            self._record.succeed(part.busy_ms)
-            self._attempts.take_report(self._server, part.load)
+            self._record.set_succeeded(part.busy_ms)
+            self._attempts.record_load(self._server, part.load)
         return Ok(part)
--- a/cactusdyke/pipeline/streamed_stage.py
+++ b/cactusdyke/pipeline/streamed_stage.py
@@ -1,4 +1,4 @@
-"""Runs the last stage as a stream that survives its backend servers."""
+"""Runs the last stage as a stream that is resumed after failures."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from cactusdyke import events
 from cactusdyke.errors import CactusdykeError, Failure, FailureKind
 from cactusdyke.pipeline import timings
-from cactusdyke.pipeline.attempts import first_part, gap
+from cactusdyke.pipeline.attempts import first_token_timing, token_gap_timing
 from cactusdyke.pipeline.race import Race
-from cactusdyke.pipeline.retries import RETRY_AFTER_MS, final
+from cactusdyke.pipeline.retries import RETRY_AFTER_MS, final_failure
 from cactusdyke.pipeline.stream_attempt import StreamAttempt
 from cactusdyke.routing.messages import StreamEnd, TokenBatch
 
@@ -24,26 +24,29 @@
     from cactusdyke.pipeline.attempts import Attempts
     from cactusdyke.pipeline.deadline import DeadlineShares
     from cactusdyke.pipeline.race import Runner
-    from cactusdyke.pipeline.retries import Retries
+    from cactusdyke.pipeline.retries import RetryPolicy
     from cactusdyke.pipeline.timings import Timings
     from cactusdyke.pipeline.work import StageWork
 
-LONGEST_GAP_MS = 2_000.0
-SHORTEST_GAP_MS = 250.0
-GAP_FACTOR = 20.0
-OWN_GAP_FACTOR = 3.0
-GAP_SHARE_OF_REMAINING = 0.4
+# Limits of the time-out for the next token, absolute and as multiples of the
+# longest usual gap between tokens.
+MAX_GAP_TIMEOUT_MS = 2_000.0
+MIN_GAP_TIMEOUT_MS = 250.0
+MAX_GAP_TIMEOUT_FACTOR = 20.0
+MIN_GAP_TIMEOUT_FACTOR = 3.0
+# Share of the time until the deadline that one gap may take.
+GAP_TIMEOUT_SHARE = 0.4
 
 
 class StreamedStage:
-    """Yields each token once, in order, whichever replica it came from."""
+    """Yields each token once and in order, across all attempts."""
 
     def __init__(
         self,
         *,
         clock: Clock,
         attempts: Attempts,
-        retries: Retries,
+        retries: RetryPolicy,
         shares: DeadlineShares,
         timings: Timings,
         metrics: Metrics,
@@ -58,10 +61,10 @@
     async def run(
         self, work: StageWork
     ) -> AsyncGenerator[TokenBatch | StreamEnd, None]:
-        """Yields the tokens and the end mark.
+        """Yields the tokens and the end event.
 
         Raises:
-            CactusdykeError: The stage was given up.
+            CactusdykeError: The stage failed and may not be retried.
         """
         position = 0
         last: Failure | None = None
@@ -75,7 +78,9 @@
                 try:
                     while True:
                         began = self._clock.now()
-                        part = await attempt.next(self._gap_ms(work, usual))
+                        part = await attempt.next_part(
+                            self._gap_timeout_ms(work, usual)
+                        )
                         if isinstance(part, Err):
                             last = part.err_value
                             break
@@ -87,26 +92,26 @@
                 finally:
                     await attempt.close()
             if work.context.remaining_ms(self._clock) <= 0:
-                last = _cut_by_deadline(work)
-                raise CactusdykeError(final(work, last))
-            if not await self._retries.again(work, last):
-                raise CactusdykeError(final(work, last))
+                last = _deadline_failure(work)
+                raise CactusdykeError(final_failure(work, last))
+            if not await self._retries.wait_for_retry(work, last):
+                raise CactusdykeError(final_failure(work, last))
             if position:
                 self._log_resumed(work, position, last)
 
     async def _open(
         self, work: StageWork, position: int, last: Failure | None
     ) -> Result[StreamAttempt, Failure]:
-        """Opens a stream from a position, hedged up to its first token."""
-        share = self._shares.check(work, under_way=position > 0)
+        """Opens a stream at a token position; hedges until the first token."""
+        share = self._shares.check(work, stream_started=position > 0)
         if isinstance(share, Err):
-            raise CactusdykeError(final(work, share.err_value))
+            raise CactusdykeError(final_failure(work, share.err_value))
         server = self._retries.choose(work)
         if isinstance(server, Err):
-            raise CactusdykeError(final(work, last or server.err_value))
-        timeout_ms = self._shares.attempt_ms(work, share.ok_value)
+            raise CactusdykeError(final_failure(work, last or server.err_value))
+        timeout_ms = self._shares.attempt_timeout_ms(work, share.ok_value)
         primary = self._runner(work, server.ok_value, position, timeout_ms)
-        delay_ms = self._retries.hedge_delay_ms(work, first_part(work))
+        delay_ms = self._retries.hedge_delay_ms(work, first_token_timing(work))
         if delay_ms is None or delay_ms >= timeout_ms:
             return await primary()
         began = self._clock.now()
@@ -154,20 +159,25 @@
         return run
 
     def _usual_gap_ms(self, work: StageWork) -> float:
-        """Returns the longest gap between tokens that was usual of late."""
-        worst = self._timings.quantile(gap(work), timings.WORST)
-        return LONGEST_GAP_MS / GAP_FACTOR if worst is None else worst
+        """Returns the recent 99th percentile of gaps between tokens."""
+        p99 = self._timings.quantile(token_gap_timing(work), timings.P99)
+        return (
+            MAX_GAP_TIMEOUT_MS / MAX_GAP_TIMEOUT_FACTOR if p99 is None else p99
+        )
 
-    def _gap_ms(self, work: StageWork, usual_ms: float) -> float:
-        """Returns how long the next token may take."""
+    def _gap_timeout_ms(self, work: StageWork, usual_ms: float) -> float:
+        """Returns the time-out for the next token, in milliseconds."""
         remaining = work.context.remaining_ms(self._clock)
         if remaining <= 0:
-            raise CactusdykeError(final(work, _cut_by_deadline(work)))
-        # A stall is noticed while there is time to go on elsewhere, but near
-        # the deadline a pace that was good so far is not taken for a stall.
-        shortest = max(SHORTEST_GAP_MS, OWN_GAP_FACTOR * usual_ms)
-        longest = min(LONGEST_GAP_MS, max(GAP_FACTOR * usual_ms, shortest))
-        share = max(remaining * GAP_SHARE_OF_REMAINING, shortest)
+            raise CactusdykeError(final_failure(work, _deadline_failure(work)))
+        # A stall must be detected while there is time to resume at another
+        # backend server, but near the deadline a gap that was usual so far
+        # does not count as a stall.
+        shortest = max(MIN_GAP_TIMEOUT_MS, MIN_GAP_TIMEOUT_FACTOR * usual_ms)
+        longest = min(
+            MAX_GAP_TIMEOUT_MS, max(MAX_GAP_TIMEOUT_FACTOR * usual_ms, shortest)
+        )
+        share = max(remaining * GAP_TIMEOUT_SHARE, shortest)
         return min(longest, share, remaining)
 
     async def _drop(self, work: StageWork, attempt: StreamAttempt) -> None:
@@ -186,7 +196,7 @@
         )
 
 
-def _cut_by_deadline(work: StageWork) -> Failure:
+def _deadline_failure(work: StageWork) -> Failure:
     return Failure(
         kind=FailureKind.DEADLINE,
         detail=f"The deadline passed in the stage {work.stage.name}",
--- a/cactusdyke/pipeline/token_meter.py
+++ b/cactusdyke/pipeline/token_meter.py
@@ -1,4 +1,4 @@
-"""Measures streams: time to the first token and between tokens."""
+"""Measures the time to the first token of a stream and between tokens."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
     from cactusdyke.pipeline.timings import Timings
     from cactusdyke.pipeline.work import StageWork
 
-# Every so many gaps one is kept for the time-outs, and tokens are counted.
-SAMPLE_EVERY = 16
+# Every so many batches one gap is recorded for the time-outs and the token
+# counter is updated.
+SAMPLE_INTERVAL = 16
 
 
 class TokenMeter:
-    """Measures one stream; `close` hands over what is not yet counted."""
+    """Measures one stream; `flush` must be called at its end."""
 
     def __init__(
         self,
         *,
         clock: Clock,
         timings: Timings,
-        gap_name: tuple[str, str, str],
+        gap_timing: tuple[str, str, str],
         first_token: prometheus_client.Histogram,
         gaps: QuickCounts,
         tokens: prometheus_client.Counter,
@@ -35,7 +36,7 @@
     ) -> None:
         self._clock = clock
         self._timings = timings
-        self._gap_name = gap_name
+        self._gap_timing = gap_timing
         self._first_token = first_token
         self._gaps = gaps
         self._tokens = tokens
@@ -44,28 +45,28 @@
         self._uncounted = 0
 
     def count(self, tokens: int) -> None:
-        """Takes in that a batch of tokens has come."""
+        """Records the arrival of a batch of tokens."""
         now = self._clock.now()
-        passed = now - self._last
+        elapsed_ms = now - self._last
         self._last = now
         self._uncounted += tokens
         self._batches += 1
         if self._batches == 1:
-            self._first_token.observe(passed / MS_PER_SECOND)
+            self._first_token.observe(elapsed_ms / MS_PER_SECOND)
             return
-        self._gaps.observe(passed / tokens / MS_PER_SECOND)
-        if self._batches % SAMPLE_EVERY == 0:
-            self._timings.record(self._gap_name, passed)
-            self.close()
+        self._gaps.observe(elapsed_ms / tokens / MS_PER_SECOND)
+        if self._batches % SAMPLE_INTERVAL == 0:
+            self._timings.record(self._gap_timing, elapsed_ms)
+            self.flush()
 
-    def close(self) -> None:
-        """Adds the tokens since the last time to the counter."""
+    def flush(self) -> None:
+        """Adds the tokens since the last flush to the counter."""
         self._tokens.inc(self._uncounted)
         self._uncounted = 0
 
 
 class TokenMeters:
-    """Makes the meter of each stream."""
+    """Creates the meter of each stream."""
 
     def __init__(
         self, *, clock: Clock, timings: Timings, metrics: Metrics
@@ -75,12 +76,12 @@
         self._metrics = metrics
 
     def start(self, work: StageWork) -> TokenMeter:
-        """Returns a meter that counts from the request's arrival."""
+        """Returns a meter that measures from the request's arrival."""
         target = work.pipeline.name
         return TokenMeter(
             clock=self._clock,
             timings=self._timings,
-            gap_name=(*work.timing, "gap"),
+            gap_timing=(*work.timing_key, "gap"),
             first_token=self._metrics.first_token_seconds.labels(target),
             gaps=self._metrics.token_gap_seconds.labels(target),
             tokens=self._metrics.tokens.labels(target),
--- a/cactusdyke/pipeline/whole_stage.py
+++ b/cactusdyke/pipeline/whole_stage.py
@@ -1,4 +1,4 @@
-"""Runs one stage for a whole answer, with retries and hedges."""
+"""Runs a stage whose answer is not streamed, with retries and hedges."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from result import Err, Result
 
 from cactusdyke.pipeline.race import Race
-from cactusdyke.pipeline.retries import final
+from cactusdyke.pipeline.retries import final_failure
 
 if TYPE_CHECKING:
     from cactusdyke.clock import Clock
@@ -17,20 +17,20 @@
     from cactusdyke.pipeline.attempts import Attempts
     from cactusdyke.pipeline.deadline import DeadlineShares
     from cactusdyke.pipeline.race import Runner
-    from cactusdyke.pipeline.retries import Retries
+    from cactusdyke.pipeline.retries import RetryPolicy
     from cactusdyke.pipeline.work import StageWork
     from cactusdyke.routing.messages import StageAnswer
 
 
 class WholeStage:
-    """Takes the first whole answer to a stage, within its deadline share."""
+    """Returns the first complete answer within the stage's share of time."""
 
     def __init__(
         self,
         *,
         clock: Clock,
         attempts: Attempts,
-        retries: Retries,
+        retries: RetryPolicy,
         shares: DeadlineShares,
         metrics: Metrics,
     ) -> None:
@@ -41,28 +41,28 @@
         self._metrics = metrics
 
     async def run(self, work: StageWork) -> Result[StageAnswer, Failure]:
-        """Returns the stage's answer, or why it was given up."""
+        """Returns the stage's answer, or the failure for the caller."""
         last: Err[Failure] | None = None
         while True:
             share = self._shares.check(work)
             if isinstance(share, Err):
-                return Err(final(work, share.err_value))
+                return Err(final_failure(work, share.err_value))
             server = self._retries.choose(work)
             if isinstance(server, Err):
-                return Err(final(work, (last or server).err_value))
+                return Err(final_failure(work, (last or server).err_value))
             answer = await self._attempt(work, server.ok_value, share.ok_value)
             if not isinstance(answer, Err):
                 return answer
             last = answer
-            if not await self._retries.again(work, answer.err_value):
-                return Err(final(work, answer.err_value))
+            if not await self._retries.wait_for_retry(work, answer.err_value):
+                return Err(final_failure(work, answer.err_value))
 
     async def _attempt(
         self, work: StageWork, server: BackendServer, share_ms: float
     ) -> Result[StageAnswer, Failure]:
-        timeout_ms = self._shares.attempt_ms(work, share_ms)
+        timeout_ms = self._shares.attempt_timeout_ms(work, share_ms)
         primary = self._runner(work, server, timeout_ms)
-        delay_ms = self._retries.hedge_delay_ms(work, work.timing)
+        delay_ms = self._retries.hedge_delay_ms(work, work.timing_key)
         if delay_ms is None or delay_ms >= timeout_ms:
             return await primary()
         began = self._clock.now()
@@ -84,14 +84,14 @@
     def _runner(
         self, work: StageWork, server: BackendServer, timeout_ms: float
     ) -> Runner[StageAnswer]:
-        # After a failure nothing that was open before is trusted: what broke
-        # one connection, such as a middlebox that forgot it, has often broken
-        # its neighbours. Calls that may not be repeated never risk it.
+        # A retry opens a new connection: the cause that broke one connection,
+        # such as a middlebox that dropped its state, has often broken others
+        # too. Calls that may not be repeated always use a new connection.
         fresh = bool(work.attempts) or not work.pool.calls_repeatable
         call = work.next_call(server, work.context.remaining_ms(self._clock))
 
         async def run() -> Result[StageAnswer, Failure]:
-            return await self._attempts.whole(
+            return await self._attempts.run_whole(
                 work, server, call, timeout_ms=timeout_ms, fresh=fresh
             )
 
--- a/cactusdyke/pipeline/work.py
+++ b/cactusdyke/pipeline/work.py
@@ -1,4 +1,4 @@
-"""What is known of a request while its stages run."""
+"""State of a request while its stages run."""
 
 from __future__ import annotations
 
@@ -16,54 +16,54 @@
     from cactusdyke.configuration.model import BackendServer
 
 
-class RanHistory:
-    """Whether any attempt of a request has run, over all its stages."""
+class ExecutionHistory:
+    """Tracks whether any attempt of a request ran, over all its stages."""
 
     def __init__(self) -> None:
-        self._worst = Ran.NOT_RUN
+        self._ran = Ran.NOT_RUN
 
     @property
     def ran(self) -> Ran:
         """NOT_RUN only if no attempt ran or may have run."""
-        return self._worst
+        return self._ran
 
-    def add(self, ran: Ran) -> None:
-        """Notes how one attempt ended."""
-        if self._worst is Ran.RAN or ran is Ran.NOT_RUN:
+    def record(self, ran: Ran) -> None:
+        """Records whether one attempt ran."""
+        if self._ran is Ran.RAN or ran is Ran.NOT_RUN:
             return
-        self._worst = ran
+        self._ran = ran
 
-    def tell(self, failure: Failure) -> Failure:
-        """Returns the failure with what is true of the whole request.
+    def apply_to(self, failure: Failure) -> Failure:
+        """Returns the failure with the `ran` value of the whole request.
 
-        The last attempt may not have run while an earlier one did. Its own
-        word would be a false "not run" to the caller.
+        The last attempt may not have run although an earlier one did; its own
+        value would be a false "not run" for the caller.
         """
-        if failure.ran is self._worst:
+        if failure.ran is self._ran:
             return failure
-        return attrs.evolve(failure, ran=self._worst)
+        return attrs.evolve(failure, ran=self._ran)
 
 
 @attrs.define(kw_only=True)
 class StageWork:
-    """One stage of one request under way.
+    """One running stage of a request.
 
     Attributes:
         context: The request.
-        history: Whether anything of the request has run.
-        pipeline: The pipeline that it runs.
-        stage: The stage.
+        history: Whether any attempt of the request ran.
+        pipeline: The pipeline that the request runs.
+        stage: The stage that is run.
         later: The stages after it.
         pool: The pool that runs the stage.
-        input: What the stage works on.
-        prefix: Names the prompt prefix, empty where it has none.
+        input: The input of the stage.
+        prefix: Identifier of the prompt prefix, empty without one.
         span: The stage's span.
-        attempts: How many attempts were started.
-        tried: Names of the backend servers tried, in order.
+        attempts: Number of attempts started.
+        tried: Names of the backend servers called, in order.
     """
 
     context: RequestContext
-    history: RanHistory
+    history: ExecutionHistory
     pipeline: Pipeline
     stage: Stage
     later: tuple[Stage, ...]
@@ -75,8 +75,8 @@
     tried: list[str] = attrs.field(factory=list)
 
     @property
-    def timing(self) -> tuple[str, str]:
-        """The name under which the stage's times are kept."""
+    def timing_key(self) -> tuple[str, str]:
+        """Key of the stage's durations in the timings."""
         return self.pipeline.name, self.stage.name
 
     def next_call(
@@ -87,7 +87,7 @@
         stream: bool = False,
         resume_from: int = 0,
     ) -> StageCall:
-        """Returns the next attempt, under a number of its own."""
+        """Returns the call of the next attempt, which it counts."""
         self.attempts += 1
         self.tried.append(server.name)
         return StageCall(
