--- a/features/requests/measurements.feature
+++ b/features/requests/measurements.feature
@@ -1,4 +1,4 @@
-Feature: the measurements of serving run in their smallest size
+Feature: the serving benchmarks run in their smallest size
 
   Scenario Outline: the case <case> counts every request
     When the serving case <case> runs in its smallest size
--- a/features/requests/stragglers.feature
+++ b/features/requests/stragglers.feature
@@ -1,55 +1,53 @@
 Feature: stragglers, retries and deadlines
 
   Scenario: one slow backend server does not make its share of requests late
-    # One engine of ten turns ten times slower, and still answers. A tenth of
-    # the callers would wait for it. The daemon must notice an attempt that is
-    # later than usual, start another one elsewhere and take the first answer.
+    # One engine of ten becomes ten times slower but still answers, so a tenth of
+    # the callers would wait for it. The daemon must detect an attempt that takes
+    # longer than usual, hedge it and use the first answer.
     Given a pool of 10 engines
-    And requests have gone well for a while
+    And requests have succeeded for a while
     When engine-4 becomes 10 times slower
-    And 400 requests come one every 10 ms
-    Then all of them were answered whole
-    And at least 99 in 100 took under 40 ms
+    And 400 requests arrive one every 10 ms
+    Then all of them got complete answers
+    And at least 99 in 100 took less than 40 ms
     And extra attempts were at most 5 in 100
 
   Scenario: retries do not multiply an outage
-    # All engines answer errors. Callers send on, and if each request were
-    # tried five times, the engines would meet five times the load just when
-    # they try to come back.
+    # All engines answer with errors while callers keep sending. Five attempts
+    # for each request would multiply the load by five while the engines recover.
     Given a pool of 4 engines
-    And requests have gone well for a while
+    And requests have succeeded for a while
     When every engine answers with errors
-    And 300 requests come one every 10 ms
+    And 300 requests arrive one every 10 ms
     Then the engines were called at most 1.2 times a request
-    And no request was told that it did not run if it may have
+    And no request that may have run was reported as not run
 
-  Scenario: a request that can't end in time is refused at once
-    # Planners ask with a deadline that the stages have not met for a while.
-    # Running it would delay the others and tell the planner only at the end.
+  Scenario: a request that cannot meet its deadline is refused at once
+    # A request has a deadline shorter than the recent durations of its stages.
+    # Running it would delay others and report the failure only at the end.
     Given a pool of 4 engines
-    And requests have gone well for a while
-    When a request comes with a deadline of 3 ms
-    Then it is refused at once as not run and told when to come back
+    And requests have succeeded for a while
+    When a request arrives with a deadline of 3 ms
+    Then it is refused at once as not run, with a time to retry
     And it did not run
 
   Scenario: a leaving backend server gets no new work after its first refusal
-    # The host list lags: it still shows an engine that drains. The engine
-    # refuses what it gets, and must not be asked again by every request.
+    # The host list is outdated and still contains an engine that drains. The
+    # engine refuses calls, and must not be called again for every request.
     Given a pool of 3 engines
     When engine-1 refuses because it is leaving
-    And 100 requests come one every 10 ms
-    Then all of them were answered whole
+    And 100 requests arrive one every 10 ms
+    Then all of them got complete answers
     And engine-1 was called at most once
 
-  Scenario: a failing backend server is left out and comes back by itself
-    # An engine's process dies and is started again after five seconds. Until
-    # then requests should not try it each time; after that it must serve again
-    # without an operator.
+  Scenario: a failing backend server is ejected and readmitted automatically
+    # An engine's process exits and is restarted seconds later. Until then requests
+    # must not try it each time; after that it must serve again without an operator.
     Given a pool of 4 engines
     When engine-1 is killed
-    And 200 requests come one every 10 ms
-    Then all of them were answered whole
-    And engine-1 was left out
-    When engine-1 is started again
-    And 300 requests come one every 100 ms
+    And 200 requests arrive one every 10 ms
+    Then all of them got complete answers
+    And engine-1 was ejected
+    When engine-1 is restarted
+    And 300 requests arrive one every 100 ms
     Then engine-1 served again
--- a/features/requests/streams.feature
+++ b/features/requests/streams.feature
@@ -1,35 +1,34 @@
-Feature: streamed answers arrive whole, in order and in time
+Feature: streamed answers arrive complete, in order and in time
 
-  Scenario: a stream goes on where its engine was killed
-    # A crew reads a phasing summary as it is written. The engine's process
-    # dies in the middle of a sentence. The text must go on at the next word,
-    # with none missing and none said twice.
+  Scenario: a stream resumes after its engine was killed
+    # The engine's process is killed in the middle of a stream. The stream must
+    # resume at the next token, with none missing and none repeated.
     Given a pool of 3 engines
     When a request streams and its engine is killed after 5 tokens
-    Then the stream is whole, in order and its own
+    Then the stream is complete, in order and for its own request
     And the stream was resumed
 
-  Scenario: a stream goes on where its engine froze
-    # The engine's host hangs: connections stay open and nothing comes. The
-    # stall must be noticed while there is time to go on elsewhere.
+  Scenario: a stream resumes after its engine froze
+    # The engine's host hangs: connections stay open and no data arrives. The
+    # stall must be detected while there is time to resume at another engine.
     Given a pool of 3 engines
     When a request streams and its engine freezes after 5 tokens
-    Then the stream is whole, in order and its own
+    Then the stream is complete, in order and for its own request
     And the stream was resumed
 
-  Scenario: a stream that trickles past its deadline is ended at the deadline
-    # Every token comes just in time to look alive, and the whole would take
-    # ten times the deadline. The caller must be told at the deadline.
+  Scenario: a slow stream is ended at its deadline
+    # Each token arrives within the time-out for a token, but the stream would
+    # last beyond the deadline. The caller must get a failure at the deadline.
     Given a pool of 3 engines
     When a request streams at 400 ms a token
-    Then the stream ended at its deadline with a true refusal
+    Then the stream ended at its deadline with a correct refusal
 
   Scenario: the first token does not wait for a straggler
-    # The engine chosen is stuck before its first token. Another one is asked,
-    # and the caller reads the answer of the first that begins.
+    # The chosen engine is slow to send its first token. The attempt is hedged,
+    # and the caller gets the stream that starts first.
     Given a pool of 3 engines
-    And streams have gone well for a while
+    And streams have succeeded for a while
     When engine-1 becomes 100 times slower
-    And 60 streams come one every 40 ms
-    Then all of them were answered whole
-    And every first token came within 100 ms
+    And 60 streams arrive one every 40 ms
+    Then all of them got complete answers
+    And every first token arrived within 100 ms
--- a/features/steps/requests_measurements_steps.py
+++ b/features/steps/requests_measurements_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the measurements of serving in their smallest size."""
+"""Steps that run the serving benchmarks in their smallest size."""
 
 from __future__ import annotations
 
--- a/features/steps/requests_routing_steps.py
+++ b/features/steps/requests_routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the router alone, in virtual time."""
+"""Steps of the router on its own, with a clock that the test sets."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 
-class _HandClock(Clock):
-    """A clock that a test moves by hand."""
+class _ManualClock(Clock):
+    """A clock that the test advances."""
 
     def __init__(self):
         self.instant = 100_000.0
@@ -35,12 +35,12 @@
 
 
 class _CountingRouter(Router):
-    """Counts the backend servers that each choice looks at."""
+    """Counts the backend servers that each choice examines."""
 
-    looked = 0
+    examined = 0
 
     def may_use(self, server):
-        self.looked += 1
+        self.examined += 1
         return super().may_use(server)
 
 
@@ -58,19 +58,19 @@
 
 
 def _router(context, servers):
-    context.clock = _HandClock()
+    context.clock = _ManualClock()
     context.router = _CountingRouter(
         clock=context.clock, rng=random.Random(7), data_centre="glenorchy"
     )
     context.pool = _pool(servers)
 
 
-@given("a router before {count:d} engines")
+@given("a router with {count:d} engines")
 def given_router(context, count):
     _router(context, [_server(number + 1) for number in range(count)])
 
 
-@given("a router before a fast dear engine and a slow cheap one")
+@given("a router with a fast expensive engine and a slow cheap one")
 def given_fast_and_cheap(context):
     _router(
         context,
@@ -82,7 +82,7 @@
 
 
 @when(
-    "both reported nothing a moment ago and {count:d} requests are in flight"
+    "both reported no requests 500 ms ago and {count:d} requests are in flight"
     " at engine-1"
 )
 def when_in_flight(context, count):
@@ -126,7 +126,7 @@
     ]
 
 
-@then("{count:d} engines may be used")
+@then("{count:d} engines are usable")
 def then_usable(context, count):
     assert len(_usable(context)) == count, _usable(context)
 
@@ -148,11 +148,11 @@
 
 @when("{count:d} choices are made")
 def when_choices(context, count):
-    context.looked = []
+    context.examined = []
     _choose(context, count)
 
 
-@when("the same before {count:d} engines")
+@when("the same with {count:d} engines")
 def when_choices_again(context, count):
     given_router(context, count)
     _choose(context, 1_000)
@@ -160,32 +160,34 @@
 
 def _choose(context, count):
     for number in range(count):
-        context.router.looked = 0
+        context.router.examined = 0
         context.router.choose(context.pool, prefix=f"prefix-{number % 50}")
-        context.looked.append(context.router.looked)
+        context.examined.append(context.router.examined)
 
 
-@then("no choice looked at more than {count:d} backend servers")
-def then_looked(context, count):
-    assert max(context.looked) <= count, max(context.looked)
+@then("no choice examined more than {count:d} backend servers")
+def then_examined(context, count):
+    assert max(context.examined) <= count, max(context.examined)
 
 
-@when("requests of two revisions with the same pool come in turn")
+@when("requests of two revisions with the same pool alternate")
 def when_two_revisions(context):
     equal = [attrs.evolve(s) for s in context.pool.backend_servers]
     pools = (context.pool, _pool(equal))
-    with mock.patch.object(router, "PoolIndex", wraps=router.PoolIndex) as made:
+    with mock.patch.object(
+        router, "PoolIndex", wraps=router.PoolIndex
+    ) as index:
         for number in range(CHOICES):
             context.router.choose(pools[number % 2])
-    context.made = made.call_count
+    context.index_builds = index.call_count
 
 
-@then("the pool was laid out once")
-def then_laid_out_once(context):
-    assert context.made == 1, context.made
+@then("the index of the pool was built once")
+def then_built_once(context):
+    assert context.index_builds == 1, context.index_builds
 
 
-@when("requests of one prefix come one after the other")
+@when("requests of one prefix arrive in sequence")
 def when_prefix(context):
     context.chosen = {
         context.router.choose(context.pool, prefix="history").name
@@ -193,30 +195,30 @@
     }
 
 
-@then("they all go to one engine")
+@then("all of them go to one engine")
 def then_one_engine(context):
     assert len(context.chosen) == 1, context.chosen
 
 
-@when("that engine has all its slots taken")
+@when("all slots of that engine are taken")
 def when_full(context):
     (name,) = context.chosen
     for _ in range(8):
         context.router.load.started(name)
 
 
-@then("the prefix goes elsewhere")
-def then_elsewhere(context):
+@then("the prefix goes to another engine")
+def then_other_engine(context):
     server = context.router.choose(context.pool, prefix="history")
     assert server.name not in context.chosen
 
 
-@then("with only attainment counting the fast one is chosen")
+@then("with only attainment weighted the fast one is chosen")
 def then_fast(context):
     _chosen_with(context, 1.0, "engine-1")
 
 
-@then("with mostly cost counting the cheap one is chosen")
+@then("with cost weighted 80 percent the cheap one is chosen")
 def then_cheap(context):
     _chosen_with(context, 0.2, "engine-2")
 
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -29,11 +29,11 @@
     context.found = _found(NaiveMachine, count, shrink=False)
 
 
-@then("the request oracle found no broken promise")
+@then("the request oracle found no violated guarantee")
 def then_nothing_found(context):
     assert not context.found, context.found
 
 
-@then("the request oracle found a broken promise")
+@then("the request oracle found a violated guarantee")
 def then_something_found(context):
     assert "request " in context.found, context.found
--- a/features/steps/requests_stories_steps.py
+++ b/features/steps/requests_stories_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about stragglers, retries, leaving and streams."""
+"""Steps of stragglers, retries, leaving backend servers and streams."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     context.rig = None
 
 
-@given("requests have gone well for a while")
+@given("requests have succeeded for a while")
 def given_warm(context):
     async def warm(rig, seen):
         for _ in range(WARM_UP):
@@ -28,7 +28,7 @@
     context.actions.append(warm)
 
 
-@given("streams have gone well for a while")
+@given("streams have succeeded for a while")
 def given_streams_warm(context):
     async def warm(rig, seen):
         for _ in range(WARM_UP):
@@ -70,7 +70,7 @@
     context.actions.append(kill)
 
 
-@when("{name} is started again")
+@when("{name} is restarted")
 def when_restarted(context, name):
     async def restart(rig, seen):
         rig.restart(name)
@@ -79,12 +79,12 @@
     context.actions.append(restart)
 
 
-@when("{count:d} requests come one every {every_ms:d} ms")
+@when("{count:d} requests arrive one every {every_ms:d} ms")
 def when_requests(context, count, every_ms):
     _send(context, "whole", count, every_ms)
 
 
-@when("{count:d} streams come one every {every_ms:d} ms")
+@when("{count:d} streams arrive one every {every_ms:d} ms")
 def when_streams(context, count, every_ms):
     _send(context, "stream", count, every_ms)
 
@@ -102,7 +102,7 @@
     context.actions.append(send)
 
 
-@when("a request comes with a deadline of {deadline_ms:d} ms")
+@when("a request arrives with a deadline of {deadline_ms:d} ms")
 def when_short_deadline(context, deadline_ms):
     async def send(rig, seen):
         seen["first"] = len(rig.outcomes)
@@ -156,7 +156,7 @@
 
 
 def _run(context):
-    """Runs the actions so far, once, and returns the requests that count."""
+    """Runs the actions, once, and returns the outcomes to be checked."""
     if context.rig is None:
         context.seen = {}
         context.rig = run_virtual(_carry_out, context)
@@ -179,14 +179,14 @@
     return rig
 
 
-@then("all of them were answered whole")
+@then("all of them got complete answers")
 def then_all_whole(context):
     failed = [o.failure for o in _run(context) if not o.whole]
     assert not failed, failed[:3]
     assert not context.violations, context.violations[:3]
 
 
-@then("at least {share:d} in 100 took under {limit_ms:d} ms")
+@then("at least {share:d} in 100 took less than {limit_ms:d} ms")
 def then_in_time(context, share, limit_ms):
     outcomes = _run(context)
     quick = [o for o in outcomes if o.ended - o.began < limit_ms]
@@ -207,13 +207,13 @@
     assert len(outcomes) <= calls <= factor * len(outcomes), calls
 
 
-@then("no request was told that it did not run if it may have")
+@then("no request that may have run was reported as not run")
 def then_truth(context):
     _run(context)
     assert not context.violations, context.violations[:3]
 
 
-@then("it is refused at once as not run and told when to come back")
+@then("it is refused at once as not run, with a time to retry")
 def then_refused(context):
     (outcome,) = _run(context)
     assert outcome.failure.kind is FailureKind.DEADLINE, outcome.failure
@@ -234,7 +234,7 @@
     assert context.rig.deployment.servers[name].counts["calls"] <= 1
 
 
-@then("{name} was left out")
+@then("{name} was ejected")
 def then_left_out(context, name):
     _run(context)
     retries = context.metrics["cactusdyke_retries_total"]
@@ -249,7 +249,7 @@
     assert calls - context.seen["served_before"] > 30, calls
 
 
-@then("the stream is whole, in order and its own")
+@then("the stream is complete, in order and for its own request")
 def then_stream_whole(context):
     (outcome,) = _run(context)
     assert outcome.whole, outcome.failure
@@ -263,7 +263,7 @@
     assert context.metrics["cactusdyke_retries_total"] == 1
 
 
-@then("the stream ended at its deadline with a true refusal")
+@then("the stream ended at its deadline with a correct refusal")
 def then_stream_late(context):
     (outcome,) = _run(context)
     assert outcome.failure.kind is FailureKind.DEADLINE, outcome.failure
@@ -271,7 +271,7 @@
     assert not context.violations, context.violations
 
 
-@then("every first token came within {limit_ms:d} ms")
+@then("every first token arrived within {limit_ms:d} ms")
 def then_first_tokens(context, limit_ms):
     waits = [o.first_token - o.began for o in _run(context)]
     assert max(waits) <= limit_ms, max(waits)
--- a/features/support/request_machine.py
+++ b/features/support/request_machine.py
@@ -1,4 +1,7 @@
-"""A state machine of requests and faults, run in virtual time at its end."""
+"""A state machine that generates plans of requests and faults.
+
+Each plan is run in virtual time when the machine is torn down.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +25,8 @@
 ]
 KINDS = ("whole", "stream", "once")
 MOST_REQUESTS = 9
-TRICKLE = 24
-TRICKLE_EVERY_MS = 30
+BACKGROUND_REQUESTS = 24
+BACKGROUND_INTERVAL_MS = 30
 PHASES = (Phase.generate, Phase.shrink)
 
 NAME = st.sampled_from(SERVERS)
@@ -136,15 +139,18 @@
 def run_machine(
     machine: type[RequestMachine], *, examples: int, shrink: bool = True
 ) -> None:
-    """Runs a machine with the same verdict each time.
+    """Runs a machine with the same plans each time.
+
+    The plans are derived from the source of the machine, names included, so an
+    edit of its code gives other plans.
 
     Args:
-        machine: Which one.
-        examples: At most how many plans.
-        shrink: Whether to look for a shorter plan that breaks a promise.
+        machine: The class of the machine.
+        examples: Maximum number of plans.
+        shrink: Whether to search for a shorter plan that fails.
 
     Raises:
-        AssertionError: The oracle found a broken promise.
+        AssertionError: The oracle found a violated guarantee.
     """
     run_state_machine_as_test(
         machine,
@@ -163,8 +169,8 @@
 
 async def _carry_out(plan, replacements) -> list[str]:
     async with RequestRig(replacements=replacements) as rig:
-        # Faults in a quiet deployment meet nobody.
-        rig.tasks.start_soon(_trickle, rig)
+        # Without background requests, faults would not affect any request.
+        rig.tasks.start_soon(_send_in_background, rig)
         for after_ms, action, arguments in plan:
             await rig.sleep(after_ms)
             await _ACTIONS[action](rig, *arguments)
@@ -172,10 +178,10 @@
         return rig.violations()
 
 
-async def _trickle(rig: RequestRig) -> None:
-    for number in range(TRICKLE):
+async def _send_in_background(rig: RequestRig) -> None:
+    for number in range(BACKGROUND_REQUESTS):
         rig.start(KINDS[number % len(KINDS)])
-        await rig.sleep(TRICKLE_EVERY_MS)
+        await rig.sleep(BACKGROUND_INTERVAL_MS)
 
 
 async def _send(rig: RequestRig, kind: str, count: int) -> None:
@@ -200,13 +206,13 @@
         rig.deployment.hub.wake(name)
         rig.restart(name)
         for towards in (True, False):
-            link = rig.deployment.hub.link(*_ends(name, towards))
+            link = rig.deployment.hub.link(*_link_ends(name, towards))
             link.cut = link.silent = False
             link.delay_ms = 0.0
 
 
 async def _cut(rig: RequestRig, name: str, towards: bool, how: str) -> None:
-    link = rig.deployment.hub.link(*_ends(name, towards))
+    link = rig.deployment.hub.link(*_link_ends(name, towards))
     link.cut = how == "cut"
     link.silent = how == "silent"
 
@@ -214,14 +220,14 @@
 async def _delay(
     rig: RequestRig, name: str, towards: bool, delay_ms: float
 ) -> None:
-    rig.deployment.hub.link(*_ends(name, towards)).delay_ms = delay_ms
+    rig.deployment.hub.link(*_link_ends(name, towards)).delay_ms = delay_ms
 
 
 async def _fault(rig: RequestRig, name: str, fault: str, value: Any) -> None:
     rig.deployment.servers[name].faults[fault] = value
 
 
-def _ends(name: str, towards: bool) -> tuple[str, str]:
+def _link_ends(name: str, towards: bool) -> tuple[str, str]:
     return (DAEMON, name) if towards else (name, DAEMON)
 
 
--- a/features/support/request_rig.py
+++ b/features/support/request_rig.py
@@ -1,4 +1,4 @@
-"""Runs requests under faults in virtual time, and holds them to the oracle."""
+"""Runs requests under faults in virtual time and checks their outcomes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from standins.engine import generate
 
 DEADLINE_MS = 3_000.0
-# Virtual time costs nothing, so an answer may be late by rounding only.
+# Code takes no virtual time, so answers exceed the deadline by rounding only.
 ANSWER_MARGIN_MS = 60.0
 TOKENS = 12
 POOLS = {"encoder": 2, "engine": 3, "plain": 2}
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True)
 class Outcome:
-    """What a caller saw of one request."""
+    """What the caller of one request received."""
 
     kind: str
     value: dict[str, Any]
@@ -42,7 +42,7 @@
 
 
 class RequestRig:
-    """A small deployment, its faults, and the requests sent to it."""
+    """A small deployment, faults in it and the requests sent to it."""
 
     def __init__(
         self,
@@ -93,10 +93,11 @@
         )
 
     def _forbid_repeats(self, pool: str) -> None:
-        """Says that a pool's calls may not be repeated.
+        """Marks the calls of a pool as not repeatable.
 
-        The questionnaire refuses such a stage, as bookings go another way.
-        What is tested here is the runner's own guard behind that.
+        The questionnaire rejects such a stage, because bookings are handled
+        by other code. The tests check that the runner itself does not repeat
+        the calls.
         """
         service = self.deployment.daemons[DAEMON].service(
             "configuration", InForce
@@ -120,7 +121,7 @@
         await self._stack.__aexit__(*error)
 
     def start(self, kind: str) -> Outcome:
-        """Sends a request of its own input, and follows it to its end."""
+        """Sends a request with a unique input and records its outcome."""
         outcome = Outcome(
             kind=kind,
             value={"request": len(self.outcomes)},
@@ -138,7 +139,7 @@
         return outcome
 
     async def finish(self) -> None:
-        """Waits until every request has ended or is far too late."""
+        """Waits until every request has ended or is past its deadline."""
         await self.sleep(self.deadline_ms + 1_000)
 
     async def sleep(self, duration_ms: float) -> None:
@@ -146,7 +147,7 @@
         await self.deployment.hub.clock.sleep(duration_ms)
 
     def restart(self, name: str) -> None:
-        """Lets a killed backend server listen again."""
+        """Restarts a killed backend server without faults."""
         server = self.deployment.servers[name]
         server.faults.clear()
         self.deployment.hub.listen(
@@ -154,7 +155,7 @@
         )
 
     def executions(self, outcome: Outcome, pool: str) -> int:
-        """Returns how often a pool executed a request's own input."""
+        """Returns how often a pool executed a request's input."""
         key = orjson.dumps(outcome.value)
         return sum(
             server.executions_by_input.get(key, 0)
@@ -176,7 +177,7 @@
         return registry.get_sample_value(name, labels) or 0.0
 
     def violations(self) -> list[str]:
-        """Returns every promise that an outcome breaks."""
+        """Returns every violation of a guarantee by an outcome."""
         return [
             f"request {number}, {outcome.kind}: {problem}"
             for number, outcome in enumerate(self.outcomes)
@@ -184,7 +185,7 @@
         ]
 
     def expected(self, outcome: Outcome) -> Any:
-        """Returns the answer that is whole and the request's own."""
+        """Returns the complete answer to the request."""
         if outcome.kind == "once":
             return {"booked": outcome.value}
         encoded = outcome.value
@@ -196,29 +197,29 @@
 
     def _problems(self, outcome: Outcome) -> list[str]:
         if not outcome.ended:
-            return ["it was never answered"]
+            return ["no answer"]
         problems = []
         took = outcome.ended - outcome.began
         if took > self.deadline_ms + ANSWER_MARGIN_MS:
-            problems.append(f"it was answered after {took:.0f} ms")
+            problems.append(f"answered after {took:.0f} ms")
         expected = self.expected(outcome)
         if outcome.kind == "stream":
             count = len(outcome.tokens)
             if outcome.tokens != expected[:count]:
-                problems.append("its tokens are not its own, or not in order")
+                problems.append("tokens of another request, or out of order")
             if outcome.positions != list(range(count)):
-                problems.append("tokens were lost or doubled")
+                problems.append("tokens lost or repeated")
             if outcome.whole and count != TOKENS:
-                problems.append(f"it ended after {count} tokens")
+                problems.append(f"ended after {count} tokens")
         elif outcome.whole and outcome.output != expected:
-            problems.append(f"it got the answer {outcome.output}")
+            problems.append(f"wrong answer {outcome.output}")
         first = "plain" if outcome.kind == "once" else next(iter(self.pools))
         runs = self.executions(outcome, first)
         failure = outcome.failure
         if failure and failure.ran is Ran.NOT_RUN and runs:
-            problems.append(f"not run, it was told, but it ran {runs} times")
+            problems.append(f"reported as not run, but ran {runs} times")
         if outcome.kind == "once" and runs > 1:
-            problems.append(f"it may run once and ran {runs} times")
+            problems.append(f"may run at most once, but ran {runs} times")
         return problems
 
     async def _follow(self, outcome: Outcome) -> None:
