--- a/cactusdyke/pipeline/attempts.py
+++ b/cactusdyke/pipeline/attempts.py
@@ -156,15 +156,15 @@
         work, server = record.work, record.server
         if record.succeeded:
             outcome = "ok"
-            work.history.record(Ran.RAN)
+            work.history.record_ran(Ran.RAN)
             self._on_success(record, took_ms)
         elif record.failure is not None:
             outcome = "failed"
-            work.history.record(record.failure.ran)
+            work.history.record_ran(record.failure.ran)
             self._on_failure(record, record.failure)
         else:
             outcome = "cancelled"
-            work.history.record(Ran.UNKNOWN)
+            work.history.record_ran(Ran.UNKNOWN)
         self._metrics.attempts.labels(work.pool.name, outcome).inc()
         self._cost.add(
             work.pipeline.name,
--- a/cactusdyke/pipeline/work.py
+++ b/cactusdyke/pipeline/work.py
@@ -27,7 +27,7 @@
         """NOT_RUN only if no attempt ran or may have run."""
         return self._ran
 
-    def record(self, ran: Ran) -> None:
+    def record_ran(self, ran: Ran) -> None:
         """Records whether one attempt ran."""
         if self._ran is Ran.RAN or ran is Ran.NOT_RUN:
             return
