--- a/bench/naive/members.py
+++ b/bench/naive/members.py
@@ -7,7 +7,7 @@
 
 from cactusdyke.kernel import Service
 from cactusdyke.membership.exchange import GOSSIP_PATH
-from cactusdyke.membership.member import Member, MemberState, from_wire
+from cactusdyke.membership.member import Member, MemberState, decode_member
 from cactusdyke.transport.messages import json_response
 
 DEAD_AFTER_MS = 5_000.0
@@ -83,12 +83,12 @@
 
     def _table(self):
         return {
-            "from": self.own.to_wire(),
+            "from": self.own.encode(),
             "addresses": sorted({*self._addresses, self.own.address}),
         }
 
     def _take(self, table) -> None:
-        member = from_wire(table["from"]).unwrap()
+        member = decode_member(table["from"]).unwrap()
         if member.name == self.own.name:
             return
         self._heard[member.name] = (self._clock.now(), member)
--- a/cactusdyke/load/departures.py
+++ b/cactusdyke/load/departures.py
@@ -121,7 +121,7 @@
         self._leaving[name] = _Departure(confirmed_at=confirmed_at)
         self._router.mark_leaving(name)
         if known is None:
-            self._members.hurry()
+            self._members.request_urgent_update()
 
     def _forget_old(self) -> None:
         oldest = self._clock.now() - LIFETIME_MS
--- a/cactusdyke/membership/control_client.py
+++ b/cactusdyke/membership/control_client.py
@@ -41,18 +41,18 @@
         self.messages_sent = 0
         self.bytes_sent = 0
 
-    def sent(self, kind: str, body: bytes) -> None:
+    def count_message(self, kind: str, body: bytes) -> None:
         """Counts a message."""
         self.messages_sent += 1
         self._by_kind[kind] += 1
         self._messages.labels(kind).inc()
         self._count_bytes(kind, body)
 
-    def sent_of(self, kind: str) -> int:
+    def messages_of(self, kind: str) -> int:
         """Returns how many messages of a kind were sent."""
         return self._by_kind[kind]
 
-    def answered(self, body: bytes) -> None:
+    def count_answer(self, body: bytes) -> None:
         """Counts an answer."""
         self._count_bytes("answer", body)
 
@@ -97,7 +97,7 @@
     async def _call(
         self, kind: str, address: str, request: Request, timeout_ms: float
     ) -> Result[dict[str, Any], Failure]:
-        self._traffic.sent(kind, request.body)
+        self._traffic.count_message(kind, request.body)
         options = CallOptions(
             connect_timeout_ms=timeout_ms, progress_timeout_ms=timeout_ms
         )
--- a/cactusdyke/membership/exchange.py
+++ b/cactusdyke/membership/exchange.py
@@ -31,10 +31,10 @@
 
 GOSSIP_PATH = "/internal/v1/gossip"
 MAX_UPDATES = 10
-MAX_PULLED = 64
-MAX_HELPING = 4
-HELP_TIMEOUT_MS = 500.0
-WITH_RIDERS = frozenset({GossipKind.PROBE, GossipKind.ANSWER})
+MAX_PULLED_MEMBERS = 64
+MAX_INDIRECT_PROBES = 4
+INDIRECT_PROBE_TIMEOUT_MS = 500.0
+KINDS_WITH_ATTACHMENTS = frozenset({GossipKind.PROBE, GossipKind.ANSWER})
 
 RevisionHook: TypeAlias = Callable[[int, str], None]
 
@@ -82,14 +82,14 @@
             kind,
             address,
             GOSSIP_PATH,
-            gossip.to_wire(),
+            gossip.encode(),
             timeout_ms=timeout_ms,
         )
         if isinstance(answer, Err):
             return answer
-        parsed = messages.parse(answer.ok_value)
+        parsed = messages.decode_gossip(answer.ok_value)
         if isinstance(parsed, Ok):
-            self.take(parsed.ok_value)
+            self.apply(parsed.ok_value)
         return parsed
 
     async def handle(self, request: Request) -> Response:
@@ -97,20 +97,20 @@
         value = request.json()
         if isinstance(value, Err):
             return failure_response(value.err_value)
-        parsed = messages.parse(value.ok_value)
+        parsed = messages.decode_gossip(value.ok_value)
         if isinstance(parsed, Err):
             return failure_response(parsed.err_value)
         gossip = parsed.ok_value
-        self.take(gossip)
+        self.apply(gossip)
         answer = await self._answer(gossip)
-        body = orjson.dumps(answer.to_wire())
-        self._traffic.answered(body)
+        body = orjson.dumps(answer.encode())
+        self._traffic.count_answer(body)
         return Response(headers={"content-type": JSON_TYPE}, body=body)
 
-    def take(self, gossip: Gossip) -> None:
+    def apply(self, gossip: Gossip) -> None:
         """Takes what a message says."""
         for member in (gossip.sender, *gossip.updates):
-            self._table.take(member)
+            self._table.merge(member)
         for key, value in gossip.riders.items():
             rider = self._riders.get(key)
             if rider is None:
@@ -140,12 +140,12 @@
         return self._compose(GossipKind.ANSWER, gossip.sender, parts)
 
     async def _help(self, address: str) -> bool:
-        if self._helping >= MAX_HELPING:
+        if self._helping >= MAX_INDIRECT_PROBES:
             return False
         self._helping += 1
         try:
             answer = await self.send(
-                GossipKind.PROBE, address, timeout_ms=HELP_TIMEOUT_MS
+                GossipKind.PROBE, address, timeout_ms=INDIRECT_PROBE_TIMEOUT_MS
             )
         finally:
             self._helping -= 1
@@ -163,7 +163,7 @@
             if digests[bucket] == self._table.digests[bucket]:
                 continue
             entries = self._table.in_buckets([bucket])
-            if chosen and len(chosen) + len(entries) > MAX_PULLED:
+            if chosen and len(chosen) + len(entries) > MAX_PULLED_MEMBERS:
                 break
             chosen.extend(entries)
         return tuple(chosen)
@@ -174,7 +174,7 @@
         name = receiver.name if receiver else ""
         riders: dict[str, Any] = {}
         for key, rider in self._riders.items():
-            if kind in WITH_RIDERS or (
+            if kind in KINDS_WITH_ATTACHMENTS or (
                 rider.urgent and kind is GossipKind.URGENT
             ):
                 value = rider.write(receiver)
@@ -182,7 +182,7 @@
                     riders[key] = value
         if "updates" not in parts:
             parts["updates"] = tuple(
-                self._table.updates(limit=MAX_UPDATES, receiver=name)
+                self._table.next_updates(limit=MAX_UPDATES, receiver=name)
             )
         return Gossip(
             kind=kind,
--- a/cactusdyke/membership/member.py
+++ b/cactusdyke/membership/member.py
@@ -53,11 +53,11 @@
     revision: int = 0
 
     @property
-    def order(self) -> tuple[int, int]:
+    def precedence(self) -> tuple[int, int]:
         """What decides between two pieces of news; the greater wins."""
         return (self.incarnation, self.state.rank)
 
-    def to_wire(self) -> list[Any]:
+    def encode(self) -> list[Any]:
         """Returns the entry as it travels."""
         return [
             self.name,
@@ -70,7 +70,7 @@
         ]
 
 
-def from_wire(value: Any) -> Result[Member, Failure]:
+def decode_member(value: Any) -> Result[Member, Failure]:
     """Reads an entry of a message."""
     if (
         not isinstance(value, list)
--- a/cactusdyke/membership/members.py
+++ b/cactusdyke/membership/members.py
@@ -12,10 +12,15 @@
 from cactusdyke.membership.exchange import Exchange
 from cactusdyke.membership.member import Member, MemberState
 from cactusdyke.membership.messages import GossipKind
-from cactusdyke.membership.prober import PAUSE_MS, Prober
+from cactusdyke.membership.probe_schedule import ProbeSchedule
+from cactusdyke.membership.prober import MIN_PAUSE_MS, Prober
 from cactusdyke.membership.revisions import RevisionMap
-from cactusdyke.membership.riders import Attachment, Provider, Reader, Rider
-from cactusdyke.membership.rounds import Rounds
+from cactusdyke.membership.riders import (
+    Provider,
+    Reader,
+    Rider,
+    VersionedAttachment,
+)
 from cactusdyke.membership.table import MemberTable
 
 if TYPE_CHECKING:
@@ -34,7 +39,7 @@
     from cactusdyke.transport.messages import Request, Response
 
 PROBE_INTERVAL_MS = 1_000.0
-RETRY_DEAD_MS = 5_000.0
+RETRY_INTERVAL_MS = 5_000.0
 PULL_INTERVAL_MS = 5_000.0
 STARTING_MS = 3_000.0
 STARTING_INTERVAL_MS = 200.0
@@ -68,8 +73,8 @@
         self._host_list = host_list
         self._revision = revision
         self._table = MemberTable(own=_own_member(settings, clock), clock=clock)
-        self._table.on_leaving(self.hurry)
-        self._rounds = Rounds(table=self._table, rng=rng)
+        self._table.on_leaving(self.request_urgent_update)
+        self._rounds = ProbeSchedule(table=self._table, rng=rng)
         self._exchange = Exchange(
             table=self._table, client=client, traffic=traffic
         )
@@ -90,7 +95,7 @@
     @property
     def own(self) -> Member:
         """This daemon's own entry."""
-        self._table.note_revision(self._settings.name, self._revision())
+        self._table.record_revision(self._settings.name, self._revision())
         return self._table.own
 
     @property
@@ -130,7 +135,9 @@
         """Lets a rider's values travel on each probe and its answer."""
         self._exchange.ride(key, rider)
 
-    def attach(self, key: str, provider: Provider, reader: Reader) -> None:
+    def attach_provider(
+        self, key: str, provider: Provider, reader: Reader
+    ) -> None:
         """Spreads a small dictionary of each daemon to all the others.
 
         Args:
@@ -138,7 +145,7 @@
             provider: Gives this daemon's dictionary, at most 256 bytes.
             reader: Called with a daemon's name and dictionary on each change.
         """
-        attachment = Attachment(
+        attachment = VersionedAttachment(
             table=self._table,
             provider=provider,
             reader=reader,
@@ -155,19 +162,19 @@
         self._refresh()
         return await self._exchange.handle(request)
 
-    def hurry(self) -> None:
+    def request_urgent_update(self) -> None:
         """Sends a few daemons the latest news without waiting for a probe."""
         self._urgent.set()
 
     def leave(self) -> None:
         """Says from now on that this daemon is leaving."""
         if self._table.own.state is not MemberState.LEAVING:
-            self._table.contradict(state=MemberState.LEAVING)
+            self._table.refute(state=MemberState.LEAVING)
 
     async def announce_stop(self) -> None:
         """Says that this daemon is leaving, to several others at once."""
         self.leave()
-        await self._tell(self._rounds.some(LEAVE_FANOUT))
+        await self._tell(self._rounds.sample(LEAVE_FANOUT))
 
     def announce(self) -> None:
         """Has many daemons told at once what this one says of itself."""
@@ -214,8 +221,8 @@
 
     async def _tick(self) -> None:
         self._refresh()
-        self._table.expire()
-        member = self._rounds.next()
+        self._table.expire_entries()
+        member = self._rounds.next_target()
         if member is None:
             return
         answer = await self._prober.probe(member)
@@ -275,7 +282,7 @@
         alone = len(self._table.present()) == 1
         if age < JOINING_MS or alone:
             return PROBE_INTERVAL_MS
-        return RETRY_DEAD_MS
+        return RETRY_INTERVAL_MS
 
     async def _retry(self) -> None:
         """Tries an address that nobody present has.
@@ -324,7 +331,7 @@
         while True:
             await self._urgent.wait()
             self._urgent = anyio.Event()
-            await self._tell(self._rounds.some(URGENT_FANOUT))
+            await self._tell(self._rounds.sample(URGENT_FANOUT))
             await self._clock.sleep(URGENT_INTERVAL_MS)
 
     async def _tell(self, members: list[Member]) -> None:
@@ -343,11 +350,11 @@
     async def _sleep(self, duration_ms: float) -> None:
         began = self._clock.now()
         await self._clock.sleep(duration_ms)
-        if self._clock.now() - began > duration_ms + PAUSE_MS:
-            self._prober.paused()
+        if self._clock.now() - began > duration_ms + MIN_PAUSE_MS:
+            self._prober.on_pause()
 
     def _refresh(self) -> None:
-        self._table.note_revision(self._settings.name, self._revision())
+        self._table.record_revision(self._settings.name, self._revision())
 
 
 def _own_member(settings: Settings, clock: Clock) -> Member:
--- a/cactusdyke/membership/messages.py
+++ b/cactusdyke/membership/messages.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from cactusdyke.errors import Failure, FailureKind
-from cactusdyke.membership.member import Member, from_wire
+from cactusdyke.membership.member import Member, decode_member
 
 
 class GossipKind(enum.StrEnum):
@@ -46,12 +46,12 @@
     digests: tuple[str, ...] = ()
     reached: bool = False
 
-    def to_wire(self) -> dict[str, Any]:
+    def encode(self) -> dict[str, Any]:
         """Returns the message as it travels, without empty parts."""
         parts: dict[str, Any] = {
             "kind": self.kind,
-            "from": self.sender.to_wire(),
-            "updates": [member.to_wire() for member in self.updates],
+            "from": self.sender.encode(),
+            "updates": [member.encode() for member in self.updates],
             "digest": self.digest,
             "riders": self.riders,
             "target": self.target,
@@ -61,12 +61,12 @@
         return {key: value for key, value in parts.items() if value}
 
 
-def parse(value: dict[str, Any]) -> Result[Gossip, Failure]:
+def decode_gossip(value: dict[str, Any]) -> Result[Gossip, Failure]:
     """Reads a message."""
     try:
         kind = GossipKind(value["kind"])
-        updates = [from_wire(item) for item in value.get("updates", [])]
-        sender = from_wire(value["from"])
+        updates = [decode_member(item) for item in value.get("updates", [])]
+        sender = decode_member(value["from"])
         riders = dict(value.get("riders", {}))
         digests = tuple(map(str, value.get("digests", ())))
     except (KeyError, TypeError, ValueError) as error:
--- a/cactusdyke/membership/rounds.py
+++ b/cactusdyke/membership/probe_schedule.py
@@ -12,12 +12,12 @@
 
     from cactusdyke.membership.table import MemberTable
 
-GLOBAL_EVERY = 3
-HELPERS_ELSEWHERE = 2
-HELPERS_HERE = 1
+GLOBAL_PROBE_INTERVAL = 3
+REMOTE_HELPERS = 2
+LOCAL_HELPERS = 1
 
 
-class Rounds:
+class ProbeSchedule:
     """Goes through the daemons in shuffled rounds.
 
     Two of three probes go to the own data centre, where load reports ride
@@ -32,10 +32,10 @@
         self._near: list[str] = []
         self._all: list[str] = []
 
-    def next(self) -> Member | None:
+    def next_target(self) -> Member | None:
         """Returns the daemon to probe now, or None if there is none."""
         self._tick += 1
-        if self._tick % GLOBAL_EVERY:
+        if self._tick % GLOBAL_PROBE_INTERVAL:
             member = self._take(self._near, near=True)
             if member is not None:
                 return member
@@ -51,12 +51,14 @@
         own = self._table.own.data_centre
         here = [m for m in candidates if m.data_centre == own]
         elsewhere = [m for m in candidates if m.data_centre != own]
-        chosen = elsewhere[:HELPERS_ELSEWHERE] + here[:HELPERS_HERE]
-        wanted = HELPERS_ELSEWHERE + HELPERS_HERE
+        chosen = elsewhere[:REMOTE_HELPERS] + here[:LOCAL_HELPERS]
+        wanted = REMOTE_HELPERS + LOCAL_HELPERS
         rest = [m for m in candidates if m not in chosen]
         return chosen + rest[: wanted - len(chosen)]
 
-    def some(self, count: int, *, exclude: Sequence[str] = ()) -> list[Member]:
+    def sample(
+        self, count: int, *, exclude: Sequence[str] = ()
+    ) -> list[Member]:
         """Returns a few daemons at random."""
         candidates = [m for m in self._known() if m.name not in exclude]
         return self._rng.sample(candidates, min(count, len(candidates)))
--- a/cactusdyke/membership/revisions.py
+++ b/cactusdyke/membership/revisions.py
@@ -11,7 +11,7 @@
     from cactusdyke.membership.member import Member
     from cactusdyke.membership.table import MemberTable
 
-REVISIONS_CARRIED = 3
+MAX_REVISIONS = 3
 
 
 class RevisionMap(Rider):
@@ -36,7 +36,7 @@
             self._table.digest,
             *(
                 [revision, _to_text([revisions[n] >= revision for n in names])]
-                for revision in latest[:REVISIONS_CARRIED]
+                for revision in latest[:MAX_REVISIONS]
             ),
         ]
 
@@ -52,7 +52,7 @@
         for revision, text in carried:
             for name, has in zip(names, _to_bits(text), strict=False):
                 if has and name != self._table.own.name:
-                    self._table.note_revision(name, int(revision))
+                    self._table.record_revision(name, int(revision))
 
     def _by_name(self) -> dict[str, int]:
         return {m.name: m.revision for m in self._table.present()}
--- a/cactusdyke/membership/riders.py
+++ b/cactusdyke/membership/riders.py
@@ -58,7 +58,7 @@
     sends_left: int = SENDS
 
 
-class Attachment(Rider):
+class VersionedAttachment(Rider):
     """One small dictionary of each daemon, passed on to all others.
 
     A dictionary's version is its daemon's incarnation and a count, so that
--- a/cactusdyke/membership/table.py
+++ b/cactusdyke/membership/table.py
@@ -40,7 +40,7 @@
         self._digests: tuple[str, ...] | None = None
         self._names: tuple[str, ...] | None = None
         self._on_leaving: Callable[[], None] = lambda: None
-        self._queue(own)
+        self._queue_update(own)
 
     @property
     def own(self) -> Member:
@@ -79,21 +79,21 @@
         """Returns a daemon by name, this one and dead ones included."""
         return self._own if name == self._own.name else self._others.get(name)
 
-    def contradict(self, *, state: MemberState | None = None) -> None:
+    def refute(self, *, state: MemberState | None = None) -> None:
         """Speaks for this daemon under a new incarnation."""
         self._own = attrs.evolve(
             self._own,
             incarnation=self._own.incarnation + 1,
             state=state or self._own.state,
         )
-        self._changed()
-        self._queue(self._own)
+        self._invalidate_caches()
+        self._queue_update(self._own)
 
     def on_leaving(self, hook: Callable[[], None]) -> None:
         """Calls `hook` when another daemon is first heard to leave."""
         self._on_leaving = hook
 
-    def note_revision(self, name: str, revision: int) -> None:
+    def record_revision(self, name: str, revision: int) -> None:
         """Keeps the highest revision heard of a daemon's incarnation."""
         if name == self._own.name:
             self._own = attrs.evolve(self._own, revision=revision)
@@ -102,28 +102,28 @@
         if known is not None and revision > known.revision:
             self._others[name] = attrs.evolve(known, revision=revision)
 
-    def take(self, news: Member) -> None:
+    def merge(self, update: Member) -> None:
         """Takes news of a daemon if it is newer than what is known."""
-        if news.name == self._own.name:
-            self._hear_of_own(news)
+        if update.name == self._own.name:
+            self._merge_own(update)
             return
-        known = self._others.get(news.name)
+        known = self._others.get(update.name)
         if known is None:
-            self._store(news)
+            self._store(update)
             return
-        if news.order <= known.order:
-            if news.incarnation == known.incarnation:
-                self.note_revision(news.name, news.revision)
+        if update.precedence <= known.precedence:
+            if update.incarnation == known.incarnation:
+                self.record_revision(update.name, update.revision)
             return
-        if news.state is MemberState.DEAD and _serves(known):
+        if update.state is MemberState.DEAD and _serves(known):
             # After a cut heals, each side tells the other that its daemons are
             # dead, and a daemon that believed it would for a while have no
             # address left to give. Hearsay therefore only begins suspicion:
             # who lives contradicts it before this daemon's own time is up.
-            news = attrs.evolve(news, state=MemberState.SUSPECTED)
-            if news.order <= known.order:
+            update = attrs.evolve(update, state=MemberState.SUSPECTED)
+            if update.precedence <= known.precedence:
                 return
-        self._store(news)
+        self._store(update)
 
     def suspect(self, name: str) -> None:
         """Suspects a daemon that could not be reached."""
@@ -135,40 +135,42 @@
         else:
             self._start_timer(name)
 
-    def bury(self, name: str) -> None:
+    def mark_dead(self, name: str) -> None:
         """Declares a daemon dead at once, on proof."""
         known = self._others.get(name)
         if known is not None and known.state is not MemberState.DEAD:
             self._store(attrs.evolve(known, state=MemberState.DEAD))
 
-    def expire(self) -> None:
+    def expire_entries(self) -> None:
         """Declares those dead whose time to contradict is over."""
         now = self._clock.now()
         for name, deadline in list(self._deadlines.items()):
             if deadline <= now:
-                self.bury(name)
+                self.mark_dead(name)
         for name, died_at in list(self._died_at.items()):
             if now - died_at > TOMBSTONE_MS:
                 self._forget(name)
 
-    def forgive(self) -> None:
+    def restart_suspicion_timers(self) -> None:
         """Gives every suspected daemon its whole time anew."""
         for name in list(self._deadlines):
-            self._deadlines[name] = self._clock.now() + self.suspicion_ms()
+            self._deadlines[name] = (
+                self._clock.now() + self.suspicion_timeout_ms()
+            )
 
-    def forget_verdicts(self) -> None:
+    def forget_unreachable(self) -> None:
         """Forgets every daemon that is suspected or believed dead."""
         for name, member in list(self._others.items()):
             if member.state in {MemberState.SUSPECTED, MemberState.DEAD}:
                 self._forget(name)
-        self._changed()
+        self._invalidate_caches()
 
-    def suspicion_ms(self) -> float:
+    def suspicion_timeout_ms(self) -> float:
         """Returns how long a suspected daemon may contradict."""
         count = len(self._others) + 1
         return SUSPICION_MS * max(1.0, math.log10(count))
 
-    def updates(self, *, limit: int, receiver: str = "") -> list[Member]:
+    def next_updates(self, *, limit: int, receiver: str = "") -> list[Member]:
         """Returns the news to send next, which counts as sent."""
         chosen = heapq.nlargest(
             limit, self._sends_left, key=self._sends_left.__getitem__
@@ -192,7 +194,7 @@
             if bucket_of(member.name) in wanted
         ]
 
-    def _hear_of_own(self, news: Member) -> None:
+    def _merge_own(self, news: Member) -> None:
         # What a former run of this daemon said, or others of it, may carry a
         # higher incarnation than the clock gave, if the clock stepped back.
         wrong = news.state is not self._own.state or (
@@ -202,7 +204,7 @@
             news.incarnation == self._own.incarnation and wrong
         ):
             self._own = attrs.evolve(self._own, incarnation=news.incarnation)
-            self.contradict()
+            self.refute()
 
     def _store(self, member: Member) -> None:
         known = self._others.get(member.name)
@@ -213,8 +215,8 @@
             self._start_timer(member.name)
         if member.state is MemberState.DEAD:
             self._died_at[member.name] = self._clock.now()
-        self._changed()
-        self._queue(member)
+        self._invalidate_caches()
+        self._queue_update(member)
         if known is None or known.state is not member.state:
             events.log(
                 events.Event.MEMBER_CHANGED,
@@ -226,7 +228,7 @@
                 self._on_leaving()
 
     def _start_timer(self, name: str) -> None:
-        deadline = self._clock.now() + self.suspicion_ms()
+        deadline = self._clock.now() + self.suspicion_timeout_ms()
         self._deadlines.setdefault(name, deadline)
 
     def _forget(self, name: str) -> None:
@@ -235,11 +237,11 @@
         self._died_at.pop(name, None)
         self._sends_left.pop(name, None)
 
-    def _queue(self, member: Member) -> None:
+    def _queue_update(self, member: Member) -> None:
         doublings = math.ceil(math.log2(len(self._others) + 2))
         self._sends_left[member.name] = SENDS_PER_DOUBLING * doublings
 
-    def _changed(self) -> None:
+    def _invalidate_caches(self) -> None:
         self._digests = None
         self._names = None
 
--- a/cactusdyke/serving/member_view.py
+++ b/cactusdyke/serving/member_view.py
@@ -52,7 +52,7 @@
         self._described: dict[str, tuple[Mapping[str, Any], PeerDaemon]] = {}
         self._known: tuple[PeerDaemon, ...] = ()
         self._fresh_until: Instant = -math.inf
-        members.attach(ATTACHMENT, self._tell, self._hear)
+        members.attach_provider(ATTACHMENT, self._tell, self._hear)
 
     def all(self) -> tuple[PeerDaemon, ...]:
         """Returns every daemon believed alive and not leaving, and this one.
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -82,7 +82,7 @@
 
 
 def _reads(daemon):
-    return daemon.traffic.sent_of("load")
+    return daemon.traffic.messages_of("load")
 
 
 @then("the load book of {name} holds what {replica} reported")
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -99,7 +99,7 @@
     def prepare(fleet):
         for name, daemon in fleet.daemons.items():
             seen = context.read.setdefault(name, {})
-            daemon.members.attach(
+            daemon.members.attach_provider(
                 "demand", lambda n=name: {"of": n}, seen.__setitem__
             )
 
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -106,7 +106,7 @@
 @when("one of them is killed and starts again")
 def starts_again(context):
     def attach(name, fleet, heard):
-        fleet.daemons[name].members.attach(
+        fleet.daemons[name].members.attach_provider(
             "front",
             lambda: {"a": name, "filler": "x" * 60},
             lambda other, value: heard.add(other),
