--- a/bench/naive/collectors.py
+++ b/bench/naive/collectors.py
@@ -52,7 +52,7 @@
 
 
 class _Silent:
-    """Members on which nothing rides."""
+    """Members that send no attachments."""
 
     def __init__(self, members) -> None:
         self._members = members
@@ -61,5 +61,5 @@
     def all(self):
         return self._members.all()
 
-    def ride(self, key, rider) -> None:
-        """Lets nothing ride."""
+    def attach(self, key, attachment) -> None:
+        """Ignores the attachment."""
--- a/cactusdyke/load/aggregates.py
+++ b/cactusdyke/load/aggregates.py
@@ -8,7 +8,7 @@
 import attrs
 
 from cactusdyke.clock import Instant
-from cactusdyke.membership.riders import Rider
+from cactusdyke.membership.attachments import Attachment
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,7 +52,7 @@
         return (self.data_centre, self.pool, self.model)
 
 
-class Aggregates(Rider):
+class Aggregates(Attachment):
     """The latest aggregate of each pool and model in each data centre."""
 
     def __init__(
--- a/cactusdyke/load/collector.py
+++ b/cactusdyke/load/collector.py
@@ -75,8 +75,8 @@
             replicas=self._own_list,
             readings=self.readings,
         )
-        members.ride("load", self.readings)
-        members.ride("aggregates", self.aggregates)
+        members.attach("load", self.readings)
+        members.attach("aggregates", self.aggregates)
 
     def all_aggregates(self) -> list[Aggregate]:
         """Returns the load by data centre, pool and model."""
--- a/cactusdyke/load/departures.py
+++ b/cactusdyke/load/departures.py
@@ -12,8 +12,8 @@
 from cactusdyke.infrastructure.host_list import HostState
 from cactusdyke.kernel import Service
 from cactusdyke.load.replicas import rank
+from cactusdyke.membership.attachments import Attachment
 from cactusdyke.membership.member import MemberState
-from cactusdyke.membership.riders import Rider
 
 if TYPE_CHECKING:
     import random
@@ -43,7 +43,7 @@
     sends_left: int = SENDS
 
 
-class Departures(Service, Rider):
+class Departures(Service, Attachment):
     """Joins the host list, refusals, load answers and peers' word.
 
     The list lags by seconds, so the first refusal or load answer is usually
@@ -71,7 +71,7 @@
         self._configuration = configuration
         self._leaving: dict[str, _Departure] = {}
         self._read_at: Instant = -math.inf
-        members.ride("leaving", self)
+        members.attach("leaving", self)
 
     def leaves(self, name: str) -> None:
         """Notes that a backend server leaves and tells other daemons."""
--- a/cactusdyke/load/readings.py
+++ b/cactusdyke/load/readings.py
@@ -9,7 +9,7 @@
 import attrs
 
 from cactusdyke.clock import Instant
-from cactusdyke.membership.riders import Rider
+from cactusdyke.membership.attachments import Attachment
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,7 +41,7 @@
     measured_at: Instant
 
 
-class Readings(Rider):
+class Readings(Attachment):
     """The latest reading of each replica, shared inside a data centre.
 
     A reading travels as four bytes in the order of the replicas' names: the
--- a/cactusdyke/membership/riders.py
+++ b/cactusdyke/membership/attachments.py
@@ -17,14 +17,14 @@
     from cactusdyke.membership.table import MemberTable
 
 MAX_VALUE_BYTES = 256
-MAX_ATTACHED_BYTES = 600
-SENDS = 12
+MAX_MESSAGE_BYTES = 600
+SENDS_PER_VERSION = 12
 
 Provider: TypeAlias = Callable[[], Mapping[str, Any]]
 Reader: TypeAlias = Callable[[str, Mapping[str, Any]], None]
 
 
-class Rider(abc.ABC):
+class Attachment(abc.ABC):
     """Adds a value to messages and reads what others added.
 
     Attributes:
@@ -55,10 +55,10 @@
 class _Attached:
     version: tuple[int, int]
     value: Mapping[str, Any]
-    sends_left: int = SENDS
+    sends_left: int = SENDS_PER_VERSION
 
 
-class VersionedAttachment(Rider):
+class VersionedAttachment(Attachment):
     """One small dictionary of each daemon, passed on to all others.
 
     A dictionary's version is its daemon's incarnation and a count, so that
@@ -92,7 +92,7 @@
         for name in (*owed, *self._news(owed)):
             attached = self._values[name]
             size += len(orjson.dumps(attached.value)) + len(name)
-            if size > MAX_ATTACHED_BYTES:
+            if size > MAX_MESSAGE_BYTES:
                 break
             attached.sends_left -= 1
             chosen.append([name, *attached.version, attached.value])
--- a/cactusdyke/membership/exchange.py
+++ b/cactusdyke/membership/exchange.py
@@ -21,12 +21,12 @@
 
 if TYPE_CHECKING:
     from cactusdyke.errors import Failure
+    from cactusdyke.membership.attachments import Attachment
     from cactusdyke.membership.control_client import (
         ControlClient,
         ControlTraffic,
     )
     from cactusdyke.membership.member import Member
-    from cactusdyke.membership.riders import Rider
     from cactusdyke.membership.table import MemberTable
 
 GOSSIP_PATH = "/internal/v1/gossip"
@@ -52,16 +52,16 @@
         self._table = table
         self._client = client
         self._traffic = traffic
-        self._riders: dict[str, Rider] = {}
+        self._attachments: dict[str, Attachment] = {}
         self._revision_hooks: list[RevisionHook] = []
         self._helping = 0
         self._first_bucket = 0
 
-    def ride(self, key: str, rider: Rider) -> None:
+    def attach(self, key: str, attachment: Attachment) -> None:
         """Lets a rider's values travel under a key."""
-        if key in self._riders:
+        if key in self._attachments:
             raise ValueError(f"{key!r} rides already")
-        self._riders[key] = rider
+        self._attachments[key] = attachment
 
     def on_revision(self, hook: RevisionHook) -> None:
         """Calls `hook(revision, address)` when a sender's is higher."""
@@ -112,7 +112,7 @@
         for member in (gossip.sender, *gossip.updates):
             self._table.merge(member)
         for key, value in gossip.riders.items():
-            rider = self._riders.get(key)
+            rider = self._attachments.get(key)
             if rider is None:
                 continue
             try:
@@ -173,7 +173,7 @@
     ) -> Gossip:
         name = receiver.name if receiver else ""
         riders: dict[str, Any] = {}
-        for key, rider in self._riders.items():
+        for key, rider in self._attachments.items():
             if kind in KINDS_WITH_ATTACHMENTS or (
                 rider.urgent and kind is GossipKind.URGENT
             ):
--- a/cactusdyke/membership/members.py
+++ b/cactusdyke/membership/members.py
@@ -9,18 +9,18 @@
 
 from cactusdyke.infrastructure.directory import Directory, Peer
 from cactusdyke.kernel import Service
+from cactusdyke.membership.attachments import (
+    Attachment,
+    Provider,
+    Reader,
+    VersionedAttachment,
+)
 from cactusdyke.membership.exchange import Exchange
 from cactusdyke.membership.member import Member, MemberState
 from cactusdyke.membership.messages import GossipKind
 from cactusdyke.membership.probe_schedule import ProbeSchedule
 from cactusdyke.membership.prober import MIN_PAUSE_MS, Prober
 from cactusdyke.membership.revisions import RevisionMap
-from cactusdyke.membership.riders import (
-    Provider,
-    Reader,
-    Rider,
-    VersionedAttachment,
-)
 from cactusdyke.membership.table import MemberTable
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
             exchange=self._exchange,
             clock=clock,
         )
-        self._exchange.ride("revisions", RevisionMap(table=self._table))
+        self._exchange.attach("revisions", RevisionMap(table=self._table))
         self._seeds = {peer.address for peer in settings.peers}
         self._started_at: Instant = clock.now()
         self._pulled_at: Instant = -PULL_INTERVAL_MS
@@ -131,9 +131,9 @@
         dead = [m for m in self._table.others() if m.state is MemberState.DEAD]
         return tuple(sorted(dead, key=_by_name)) or self._from_settings()
 
-    def ride(self, key: str, rider: Rider) -> None:
+    def attach(self, key: str, attachment: Attachment) -> None:
         """Lets a rider's values travel on each probe and its answer."""
-        self._exchange.ride(key, rider)
+        self._exchange.attach(key, attachment)
 
     def attach_provider(
         self, key: str, provider: Provider, reader: Reader
@@ -151,7 +151,7 @@
             reader=reader,
             rng=self._rng,
         )
-        self._exchange.ride(key, attachment)
+        self._exchange.attach(key, attachment)
 
     def on_revision(self, hook: RevisionHook) -> None:
         """Calls `hook(revision, address)` when a sender's is higher."""
--- a/cactusdyke/membership/revisions.py
+++ b/cactusdyke/membership/revisions.py
@@ -5,7 +5,7 @@
 import base64
 from typing import TYPE_CHECKING, Any
 
-from cactusdyke.membership.riders import Rider
+from cactusdyke.membership.attachments import Attachment
 
 if TYPE_CHECKING:
     from cactusdyke.membership.member import Member
@@ -14,7 +14,7 @@
 MAX_REVISIONS = 3
 
 
-class RevisionMap(Rider):
+class RevisionMap(Attachment):
     """Carries a bit for each daemon and each of the latest revisions.
 
     The revision in force changes at every daemon at once. As news of members
--- a/cactusdyke/platform/program.py
+++ b/cactusdyke/platform/program.py
@@ -161,7 +161,7 @@
         )
         registry.keep(self._core.quarantine)
         self._core.quarantine.on_informed(self._announce_when_ready)
-        self._members.ride("crashes", self._core.quarantine.rider)
+        self._members.attach("crashes", self._core.quarantine.rider)
         self._front = Front(
             host=self._settings.front.host,
             port=self._settings.front.port,
--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -19,7 +19,7 @@
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.kernel import Service
-from cactusdyke.membership.riders import Rider
+from cactusdyke.membership.attachments import Attachment
 from cactusdyke.serving.crash_suspects import (
     MOST_TOLD,
     TOLD_CRASHES,
@@ -127,7 +127,7 @@
         return self._known
 
     @property
-    def rider(self) -> Rider:
+    def rider(self) -> Attachment:
         """Has what all daemons are told travel with membership's messages."""
         return _EvidenceRider(quarantine=self, known=self._known)
 
@@ -363,7 +363,7 @@
         return took
 
 
-class _EvidenceRider(Rider):
+class _EvidenceRider(Attachment):
     """Tells each daemon once what there is to know, and again as it changes.
 
     It reaches those that were started, frozen or cut off as others were told.
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -231,7 +231,7 @@
             metrics=ServingMetrics(registry),
             tracing=Tracing(daemon=self.name, kept=KEPT_SPANS),
         )
-        members.ride("crashes", core.quarantine.rider)
+        members.attach("crashes", core.quarantine.rider)
         for evidence in world.saved.values():
             core.quarantine.take(evidence)
         core.quarantine.inform()
