--- a/cactusdyke/membership/__init__.py
+++ b/cactusdyke/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among daemons."""
+"""Gossip membership and failure detection among daemons."""
--- a/cactusdyke/membership/attachments.py
+++ b/cactusdyke/membership/attachments.py
@@ -1,4 +1,4 @@
-"""Small values that ride on the messages of membership."""
+"""Small values that are sent along with gossip messages."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Attachment(abc.ABC):
-    """Adds a value to messages and reads what others added.
+    """Writes a value into gossip messages and reads those of other daemons.
 
     Attributes:
-        urgent: Whether it rides on urgent messages too, not only on probes
-            and answers.
+        urgent: Whether the value is also sent with urgent messages, not only
+            with probes and answers.
     """
 
     urgent = False
@@ -39,15 +39,15 @@
         """Returns the value for a receiver, or None for no value.
 
         Args:
-            receiver: Whom the message goes to; None if it is not yet known.
+            receiver: The receiver of the message; None if it is not known.
         """
 
     @abc.abstractmethod
     def read(self, sender: Member, value: Any) -> None:
-        """Takes the value that a sender added.
+        """Reads the value that a sender attached.
 
         Raises:
-            ValueError, TypeError, KeyError: The value is of no known form.
+            ValueError, TypeError, KeyError: The value is malformed.
         """
 
 
@@ -59,12 +59,12 @@
 
 
 class VersionedAttachment(Attachment):
-    """One small dictionary of each daemon, passed on to all others.
+    """Spreads one small dictionary of each daemon to all others.
 
     A dictionary's version is its daemon's incarnation and a count, so that
-    the newer one wins whatever way it came. Each message carries at most
-    `MAX_ATTACHED_BYTES` of them: those that its receiver was never sent since
-    it started, then those passed on least.
+    the newer one wins regardless of the order of arrival. Each message
+    carries at most `MAX_MESSAGE_BYTES` of dictionaries: first those not yet
+    sent to this receiver since it started, then those sent least often.
     """
 
     def __init__(
@@ -80,55 +80,55 @@
         self._reader = reader
         self._rng = rng
         self._values: dict[str, _Attached] = {}
-        self._owed: dict[str, tuple[int, list[str]]] = {}
+        self._unsent: dict[str, tuple[int, list[str]]] = {}
 
     def write(self, receiver: Member | None) -> Any:
         """Returns the dictionaries that the receiver most likely lacks."""
         self._refresh_own()
         self._drop_dead()
-        owed = self._owed_to(receiver)
+        unsent = self._unsent_to(receiver)
         chosen: list[Any] = []
         size = 0
-        for name in (*owed, *self._news(owed)):
+        for name in (*unsent, *self._due(unsent)):
             attached = self._values[name]
             size += len(orjson.dumps(attached.value)) + len(name)
             if size > MAX_MESSAGE_BYTES:
                 break
             attached.sends_left -= 1
             chosen.append([name, *attached.version, attached.value])
-        del owed[: len(chosen)]
+        del unsent[: len(chosen)]
         return chosen or None
 
-    def _news(self, owed: list[str]) -> list[str]:
-        """Returns who is still to be passed on, the least passed on first."""
-        news = [
+    def _due(self, unsent: list[str]) -> list[str]:
+        """Returns names whose dictionary is due, the least sent first."""
+        due = [
             (attached.sends_left, name)
             for name, attached in self._values.items()
-            if attached.sends_left > 0 and name not in owed
+            if attached.sends_left > 0 and name not in unsent
         ]
-        return [name for _, name in sorted(news, reverse=True)]
+        return [name for _, name in sorted(due, reverse=True)]
 
-    def _owed_to(self, receiver: Member | None) -> list[str]:
-        """Returns whose dictionaries a receiver was not sent since its start.
+    def _unsent_to(self, receiver: Member | None) -> list[str]:
+        """Returns names whose dictionary the receiver was not sent since start.
 
-        A daemon that started again in a calm fleet was told of no other: each
-        dictionary had been passed on often enough before. It knew the members,
-        but where callers reach none of them, named itself alone to callers and
-        decided alone, until others had something new to say.
+        Without this, a daemon that restarts while no dictionary changes gets
+        none, because each was sent often enough before. It then has the
+        members but none of their public addresses: it lists only itself to
+        callers and is the only decider until other dictionaries change.
         """
         if receiver is None:
             return []
-        incarnation, names = self._owed.get(receiver.name, (None, []))
+        incarnation, names = self._unsent.get(receiver.name, (None, []))
         if incarnation != receiver.incarnation:
             names = [name for name in self._values if name != receiver.name]
-            # Each of those who meet it begins with others.
+            # A random order, so that each sender starts with other names.
             self._rng.shuffle(names)
-            self._owed[receiver.name] = (receiver.incarnation, names)
+            self._unsent[receiver.name] = (receiver.incarnation, names)
         names[:] = [name for name in names if name in self._values]
         return names
 
     def read(self, sender: Member, value: Any) -> None:
-        """Takes dictionaries newer than those known."""
+        """Merges the dictionaries that are newer than the known ones."""
         for name, incarnation, count, attached in value:
             known = self._values.get(name)
             version = (int(incarnation), int(count))
@@ -144,7 +144,7 @@
         value = dict(self._provider())
         if len(orjson.dumps(value)) > MAX_VALUE_BYTES:
             raise ValueError(
-                f"an attached value may hold {MAX_VALUE_BYTES} bytes"
+                f"attached dictionary exceeds {MAX_VALUE_BYTES} bytes"
             )
         known = self._values.get(own.name)
         if known is None or known.value != value:
@@ -157,4 +157,4 @@
             member = self._table.find(name)
             if member is not None and member.state is MemberState.DEAD:
                 del self._values[name]
-                self._owed.pop(name, None)
+                self._unsent.pop(name, None)
--- a/cactusdyke/membership/control_client.py
+++ b/cactusdyke/membership/control_client.py
@@ -1,4 +1,4 @@
-"""Calls between daemons, counted as what control costs."""
+"""Control calls between daemons, with counts of messages and bytes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from cactusdyke.transport.network import Network
 
 HEADER_BYTES = 120
-"""About what the head of a small request or answer takes."""
+"""Estimated size of the HTTP head of a small request or answer."""
 
 
 class ControlTraffic(Service):
-    """Counts control messages and bytes, by kind and direction."""
+    """Counts control messages and bytes sent, by kind of message."""
 
     def __init__(self, registry: prometheus_client.CollectorRegistry) -> None:
         self._messages = prometheus_client.Counter(
@@ -42,7 +42,7 @@
         self.bytes_sent = 0
 
     def count_message(self, kind: str, body: bytes) -> None:
-        """Counts a message."""
+        """Counts a message and its bytes."""
         self.messages_sent += 1
         self._by_kind[kind] += 1
         self._messages.labels(kind).inc()
@@ -53,7 +53,7 @@
         return self._by_kind[kind]
 
     def count_answer(self, body: bytes) -> None:
-        """Counts an answer."""
+        """Counts the bytes of an answer."""
         self._count_bytes("answer", body)
 
     def _count_bytes(self, kind: str, body: bytes) -> None:
@@ -78,7 +78,7 @@
         *,
         timeout_ms: float,
     ) -> Result[dict[str, Any], Failure]:
-        """Posts an object and returns the object that answers it."""
+        """Posts a JSON object and returns the JSON object of the answer."""
         request = Request(
             method="POST",
             path=path,
@@ -90,7 +90,7 @@
     async def get(
         self, kind: str, address: str, path: str, *, timeout_ms: float
     ) -> Result[dict[str, Any], Failure]:
-        """Reads an object."""
+        """Gets a JSON object."""
         request = Request(method="GET", path=path)
         return await self._call(kind, address, request, timeout_ms)
 
--- a/cactusdyke/membership/exchange.py
+++ b/cactusdyke/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Sends, takes and answers the messages of membership."""
+"""Sends, receives and answers gossip messages."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Exchange:
-    """Turns the table into messages and messages into the table."""
+    """Composes gossip from the member table and merges received gossip."""
 
     def __init__(
         self,
@@ -54,17 +54,21 @@
         self._traffic = traffic
         self._attachments: dict[str, Attachment] = {}
         self._revision_hooks: list[RevisionHook] = []
-        self._helping = 0
+        self._indirect_probes = 0
         self._first_bucket = 0
 
     def attach(self, key: str, attachment: Attachment) -> None:
-        """Lets a rider's values travel under a key."""
+        """Sends an attachment's values under a key.
+
+        Raises:
+            ValueError: The key is in use.
+        """
         if key in self._attachments:
-            raise ValueError(f"{key!r} rides already")
+            raise ValueError(f"an attachment with the key {key!r} exists")
         self._attachments[key] = attachment
 
     def on_revision(self, hook: RevisionHook) -> None:
-        """Calls `hook(revision, address)` when a sender's is higher."""
+        """Calls `hook(revision, address)` if a sender's revision is higher."""
         self._revision_hooks.append(hook)
 
     async def send(
@@ -76,7 +80,7 @@
         timeout_ms: float,
         **parts: Any,
     ) -> Result[Gossip, Failure]:
-        """Sends a message, and takes and returns what answers it."""
+        """Sends a message, then applies and returns its answer."""
         gossip = self._compose(kind, receiver, parts)
         answer = await self._client.post(
             kind,
@@ -93,7 +97,7 @@
         return parsed
 
     async def handle(self, request: Request) -> Response:
-        """Takes another daemon's message and answers with news."""
+        """Applies another daemon's message and answers with updates."""
         value = request.json()
         if isinstance(value, Err):
             return failure_response(value.err_value)
@@ -108,15 +112,15 @@
         return Response(headers={"content-type": JSON_TYPE}, body=body)
 
     def apply(self, gossip: Gossip) -> None:
-        """Takes what a message says."""
+        """Merges a message's entries and attachments."""
         for member in (gossip.sender, *gossip.updates):
             self._table.merge(member)
         for key, value in gossip.riders.items():
-            rider = self._attachments.get(key)
-            if rider is None:
+            attachment = self._attachments.get(key)
+            if attachment is None:
                 continue
             try:
-                rider.read(gossip.sender, value)
+                attachment.read(gossip.sender, value)
             except (ValueError, TypeError, KeyError) as error:
                 events.log(
                     events.Event.GOSSIP_REJECTED,
@@ -132,30 +136,30 @@
         parts: dict[str, Any] = {}
         match gossip.kind:
             case GossipKind.ASK:
-                parts["reached"] = await self._help(gossip.target)
+                parts["reached"] = await self._probe_for_sender(gossip.target)
             case GossipKind.PULL:
                 parts["updates"] = self._differing(gossip.digests)
             case _:
                 pass
         return self._compose(GossipKind.ANSWER, gossip.sender, parts)
 
-    async def _help(self, address: str) -> bool:
-        if self._helping >= MAX_INDIRECT_PROBES:
+    async def _probe_for_sender(self, address: str) -> bool:
+        if self._indirect_probes >= MAX_INDIRECT_PROBES:
             return False
-        self._helping += 1
+        self._indirect_probes += 1
         try:
             answer = await self.send(
                 GossipKind.PROBE, address, timeout_ms=INDIRECT_PROBE_TIMEOUT_MS
             )
         finally:
-            self._helping -= 1
+            self._indirect_probes -= 1
         return answer.is_ok()
 
     def _differing(self, digests: tuple[str, ...]) -> tuple[Member, ...]:
         if len(digests) != BUCKETS:
             return ()
-        # Begins elsewhere each time, so that a table that needs more than one
-        # answer is not sent its first buckets again and again.
+        # Starts at another bucket each time, so that a table that needs more
+        # than one answer is not sent its first buckets repeatedly.
         self._first_bucket = (self._first_bucket + 5) % BUCKETS
         order = [(self._first_bucket + i) % BUCKETS for i in range(BUCKETS)]
         chosen: list[Member] = []
@@ -172,14 +176,14 @@
         self, kind: GossipKind, receiver: Member | None, parts: dict[str, Any]
     ) -> Gossip:
         name = receiver.name if receiver else ""
-        riders: dict[str, Any] = {}
-        for key, rider in self._attachments.items():
+        attached: dict[str, Any] = {}
+        for key, attachment in self._attachments.items():
             if kind in KINDS_WITH_ATTACHMENTS or (
-                rider.urgent and kind is GossipKind.URGENT
+                attachment.urgent and kind is GossipKind.URGENT
             ):
-                value = rider.write(receiver)
+                value = attachment.write(receiver)
                 if value is not None:
-                    riders[key] = value
+                    attached[key] = value
         if "updates" not in parts:
             parts["updates"] = tuple(
                 self._table.next_updates(limit=MAX_UPDATES, receiver=name)
@@ -188,6 +192,6 @@
             kind=kind,
             sender=self._table.own,
             digest=self._table.digest,
-            riders=riders,
+            riders=attached,
             **parts,
         )
--- a/cactusdyke/membership/extension.py
+++ b/cactusdyke/membership/extension.py
@@ -1,4 +1,4 @@
-"""Registers the services of this package with the application."""
+"""Extension that registers the membership services."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def setup(app: Application) -> ExtensionMetadata:
-    """Registers the membership service and its route."""
+    """Registers the control client, the membership service and its route."""
     app.setup_extension("cactusdyke.configuration")
     in_force = app.service("configuration", InForce)
     traffic = ControlTraffic(app.metrics)
--- a/cactusdyke/membership/member.py
+++ b/cactusdyke/membership/member.py
@@ -1,4 +1,4 @@
-"""One daemon as others know it, and which news of it wins."""
+"""Membership entry of one daemon, and the precedence of its updates."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What a daemon says of itself, or others of it."""
+    """State of a daemon, reported by itself or by others."""
 
     LIVE = "live"
     SUSPECTED = "suspected"
@@ -21,7 +21,7 @@
 
     @property
     def rank(self) -> int:
-        """Which state wins at the same incarnation."""
+        """Precedence among states of the same incarnation; the higher wins."""
         return _RANKS[self]
 
 
@@ -32,16 +32,17 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """One daemon.
+    """Membership entry of one daemon.
 
     Attributes:
         name: The daemon's name.
-        address: Where it serves.
-        data_centre: Where it stands.
+        address: Where it accepts connections.
+        data_centre: Where it runs.
         region: The region of its data centre.
-        incarnation: Grows with each start and each contradiction.
-        state: Whether it serves, as seen from here.
-        revision: The highest configuration revision known in force there.
+        incarnation: Increases with each start and each refutation.
+        state: Its state, in the view of the daemon that keeps the entry.
+        revision: The highest configuration revision known to be in force
+            there.
     """
 
     name: str
@@ -54,11 +55,11 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """What decides between two pieces of news; the greater wins."""
+        """Order of updates about the same daemon; the greater wins."""
         return (self.incarnation, self.state.rank)
 
     def encode(self) -> list[Any]:
-        """Returns the entry as it travels."""
+        """Returns the entry as a JSON list, for a message."""
         return [
             self.name,
             self.address,
@@ -71,7 +72,7 @@
 
 
 def decode_member(value: Any) -> Result[Member, Failure]:
-    """Reads an entry of a message."""
+    """Decodes an entry of a message."""
     if (
         not isinstance(value, list)
         or len(value) != _WIRE_FIELDS
@@ -82,7 +83,7 @@
         return Err(
             Failure(
                 kind=FailureKind.BAD_REQUEST,
-                detail=f"{str(value)[:200]} is not a member",
+                detail=f"invalid member entry: {str(value)[:200]}",
             )
         )
     return Ok(
--- a/cactusdyke/membership/members.py
+++ b/cactusdyke/membership/members.py
@@ -1,4 +1,4 @@
-"""Which daemons there are, by messages between the daemons themselves."""
+"""Gossip membership service."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 URGENT_INTERVAL_MS = 500.0
 LEAVE_FANOUT = 6
 GREETED = 16
-"""Where there are more, those greeted pass it on with their next messages."""
+"""Daemons an announcement is sent to; with more, these pass it on."""
 
 
 class Members(Service, Directory):
-    """Probes one daemon each second and passes on what it hears."""
+    """Probes one daemon per second and spreads updates among daemons."""
 
     def __init__(
         self,
@@ -74,13 +74,13 @@
         self._revision = revision
         self._table = MemberTable(own=_own_member(settings, clock), clock=clock)
         self._table.on_leaving(self.request_urgent_update)
-        self._rounds = ProbeSchedule(table=self._table, rng=rng)
+        self._schedule = ProbeSchedule(table=self._table, rng=rng)
         self._exchange = Exchange(
             table=self._table, client=client, traffic=traffic
         )
         self._prober = Prober(
             table=self._table,
-            rounds=self._rounds,
+            schedule=self._schedule,
             exchange=self._exchange,
             clock=clock,
         )
@@ -88,9 +88,9 @@
         self._seeds = {peer.address for peer in settings.peers}
         self._started_at: Instant = clock.now()
         self._pulled_at: Instant = -PULL_INTERVAL_MS
-        self._urgent = anyio.Event()
+        self._urgent_update = anyio.Event()
         self._joined = anyio.Event()
-        self._news = anyio.Event()
+        self._announcement = anyio.Event()
 
     @property
     def own(self) -> Member:
@@ -100,7 +100,7 @@
 
     @property
     def known_count(self) -> int:
-        """How many daemons are known, this one and dead ones among them."""
+        """Number of known daemons, including this one and dead ones."""
         return 1 + len(self._table.others())
 
     def all(self) -> tuple[Member, ...]:
@@ -109,18 +109,19 @@
         return (self.own, *sorted(others, key=_by_name))
 
     def peers(self) -> tuple[Peer, ...]:
-        """Returns the other daemons that configuration may be had from."""
+        """Returns the other daemons, as sources of configuration."""
         return tuple(
             Peer(name=m.name, address=m.address, data_centre=m.data_centre)
             for m in self.all()[1:]
         )
 
     def serving(self) -> tuple[Member, ...]:
-        """Returns the daemons that callers may be sent to.
+        """Returns the daemons whose addresses callers are given.
 
-        A suspected daemon is left out, but not if most are suspected: then
-        the fault is nearer than they are. Where none is left, those believed
-        dead are better than no address at all; a leaving one never is.
+        Suspected daemons are omitted unless most are suspected: then a fault
+        of this daemon is more likely. If all others and this one are leaving
+        or dead, those marked dead are returned, or else those of the settings.
+        A leaving daemon is never returned.
         """
         known = [m for m in self.all() if m.state is not MemberState.LEAVING]
         live = [m for m in known if m.state is MemberState.LIVE]
@@ -132,7 +133,7 @@
         return tuple(sorted(dead, key=_by_name)) or self._from_settings()
 
     def attach(self, key: str, attachment: Attachment) -> None:
-        """Lets a rider's values travel on each probe and its answer."""
+        """Sends an attachment's values with each probe and its answer."""
         self._exchange.attach(key, attachment)
 
     def attach_provider(
@@ -141,8 +142,8 @@
         """Spreads a small dictionary of each daemon to all the others.
 
         Args:
-            key: Names the dictionary in messages.
-            provider: Gives this daemon's dictionary, at most 256 bytes.
+            key: The key of the dictionaries in messages.
+            provider: Returns this daemon's dictionary, at most 256 bytes.
             reader: Called with a daemon's name and dictionary on each change.
         """
         attachment = VersionedAttachment(
@@ -154,34 +155,34 @@
         self._exchange.attach(key, attachment)
 
     def on_revision(self, hook: RevisionHook) -> None:
-        """Calls `hook(revision, address)` when a sender's is higher."""
+        """Calls `hook(revision, address)` if a sender's revision is higher."""
         self._exchange.on_revision(hook)
 
     async def handle(self, request: Request) -> Response:
-        """Takes another daemon's message and answers with news."""
+        """Applies another daemon's message and answers with updates."""
         self._refresh()
         return await self._exchange.handle(request)
 
     def request_urgent_update(self) -> None:
-        """Sends a few daemons the latest news without waiting for a probe."""
-        self._urgent.set()
+        """Sends the latest updates to a few daemons without delay."""
+        self._urgent_update.set()
 
     def leave(self) -> None:
-        """Says from now on that this daemon is leaving."""
+        """Marks this daemon as leaving."""
         if self._table.own.state is not MemberState.LEAVING:
             self._table.refute(state=MemberState.LEAVING)
 
     async def announce_stop(self) -> None:
-        """Says that this daemon is leaving, to several others at once."""
+        """Marks this daemon as leaving and sends this to several others."""
         self.leave()
-        await self._tell(self._rounds.sample(LEAVE_FANOUT))
+        await self._send_urgent(self._schedule.sample(LEAVE_FANOUT))
 
     def announce(self) -> None:
-        """Has many daemons told at once what this one says of itself."""
-        self._news.set()
+        """Sends this daemon's current state to many daemons without delay."""
+        self._announcement.set()
 
     async def run(self) -> None:
-        """Probes, retries, pulls and hurries until it is cancelled."""
+        """Probes, retries, pulls and sends updates until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._run_urgent)
             tasks.start_soon(self._run_announcements)
@@ -189,24 +190,24 @@
             await self._join()
             await self._sleep(self._rng.uniform(0, self._interval_ms))
             while True:
-                began = self._clock.now()
+                started = self._clock.now()
                 await self._tick()
-                took = self._clock.now() - began
+                took = self._clock.now() - started
                 await self._sleep(max(0.0, self._interval_ms - took))
 
     @property
     def _interval_ms(self) -> float:
-        """The time between probes, short in a daemon's first seconds.
+        """Time between probes, shorter in the first seconds after the start.
 
-        Where all daemons start at once each knows a few others at first, and
-        takes several of a second's rounds to hear of all (seen as 6 s in which
-        no two of six agreed on who decides for a service).
+        If all daemons start at once, each knows only a few others, and needs
+        several probe rounds to discover all. With rounds of one second, six
+        daemons disagreed for 6 s on the decider of a service.
         """
         age = self._clock.now() - self._started_at
         return STARTING_INTERVAL_MS if age < STARTING_MS else PROBE_INTERVAL_MS
 
     def _from_settings(self) -> tuple[Member, ...]:
-        # A daemon told to stop right after its start knows nobody yet.
+        # A daemon that stops right after its start has no other entries yet.
         return tuple(
             Member(
                 name=peer.name,
@@ -222,7 +223,7 @@
     async def _tick(self) -> None:
         self._refresh()
         self._table.expire_entries()
-        member = self._rounds.next_target()
+        member = self._schedule.next_target()
         if member is None:
             return
         answer = await self._prober.probe(member)
@@ -237,25 +238,25 @@
         self._joined.set()
 
     async def _run_announcements(self) -> None:
-        """Probes many daemons as soon as this one has something to say.
+        """Probes many daemons on each announcement.
 
-        After a loss of power all daemons come back within a second. Met one
-        by one in the rounds of probes, they knew each other another second
-        later; until then up to nine of nine decided for one service.
+        After a power loss all daemons start within a second. With regular
+        probes alone, they discovered each other one second later; until then
+        up to nine of nine daemons acted as decider of the same service.
         """
         await self._joined.wait()
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
+            await self._announcement.wait()
+            self._announcement = anyio.Event()
             known = {member.address for member in self._table.present()}
             addresses = sorted((self._seeds | known) - {self._settings.address})
             self._rng.shuffle(addresses)
             async with anyio.create_task_group() as tasks:
                 for address in addresses[:GREETED]:
-                    tasks.start_soon(self._greet, address)
+                    tasks.start_soon(self._probe_and_pull, address)
             await self._clock.sleep(URGENT_INTERVAL_MS)
 
-    async def _greet(self, address: str) -> None:
+    async def _probe_and_pull(self, address: str) -> None:
         answer = await self._exchange.send(
             GossipKind.PROBE, address, timeout_ms=CALL_TIMEOUT_MS
         )
@@ -269,11 +270,11 @@
 
     @property
     def _retry_interval_ms(self) -> float:
-        """The time between tries of addresses that nobody present has.
+        """Time between probes of addresses without a present daemon.
 
-        Hosts that lost power together come back within half a second. Those
-        that found one another were content, and tried the seeds that had not
-        been up after five seconds only: seen as two groups of six daemons, each
+        Hosts that lost power together come back within half a second. With a
+        fixed interval of five seconds, seeds that were not up at first were
+        probed again only then: six daemons stayed split in two groups, each
         with its own deciders, for five seconds.
         """
         age = self._clock.now() - self._started_at
@@ -285,10 +286,10 @@
         return RETRY_INTERVAL_MS
 
     async def _retry(self) -> None:
-        """Tries an address that nobody present has.
+        """Probes an address that no present daemon has.
 
-        A region that was cut off comes back with every daemon believed dead
-        on the other side. One answer is enough for both sides to join.
+        After a partition between regions, each side has marked the other's
+        daemons as dead. One answer is enough for both sides to merge.
         """
         present = {member.address for member in self._table.present()}
         known = {member.address for member in self._table.others()}
@@ -324,22 +325,23 @@
         )
 
     async def _run_urgent(self) -> None:
-        # News that a daemon leaves would take a probe for each doubling of
-        # those who know, longer than callers keep an address. Everyone who
-        # hears it first tells a few at once; the pause bounds the messages
-        # when many leave together.
+        # With regular probes alone, the number of daemons that have received
+        # a departure doubles once per probe interval, which takes longer than
+        # callers keep an address. Each daemon that receives it therefore sends
+        # it to a few others at once. The pause bounds the messages when many
+        # daemons leave together.
         while True:
-            await self._urgent.wait()
-            self._urgent = anyio.Event()
-            await self._tell(self._rounds.sample(URGENT_FANOUT))
+            await self._urgent_update.wait()
+            self._urgent_update = anyio.Event()
+            await self._send_urgent(self._schedule.sample(URGENT_FANOUT))
             await self._clock.sleep(URGENT_INTERVAL_MS)
 
-    async def _tell(self, members: list[Member]) -> None:
+    async def _send_urgent(self, members: list[Member]) -> None:
         async with anyio.create_task_group() as tasks:
             for member in members:
-                tasks.start_soon(self._tell_one, member)
+                tasks.start_soon(self._send_urgent_to, member)
 
-    async def _tell_one(self, member: Member) -> None:
+    async def _send_urgent_to(self, member: Member) -> None:
         await self._exchange.send(
             GossipKind.URGENT,
             member.address,
@@ -348,9 +350,9 @@
         )
 
     async def _sleep(self, duration_ms: float) -> None:
-        began = self._clock.now()
+        started = self._clock.now()
         await self._clock.sleep(duration_ms)
-        if self._clock.now() - began > duration_ms + MIN_PAUSE_MS:
+        if self._clock.now() - started > duration_ms + MIN_PAUSE_MS:
             self._prober.on_pause()
 
     def _refresh(self) -> None:
--- a/cactusdyke/membership/messages.py
+++ b/cactusdyke/membership/messages.py
@@ -1,4 +1,4 @@
-"""The message that daemons exchange, and what is wrong with a bad one."""
+"""The gossip message that daemons exchange, with its JSON form."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class GossipKind(enum.StrEnum):
-    """Why a message is sent."""
+    """Purpose of a message."""
 
     PROBE = "probe"
     ASK = "ask"
@@ -24,17 +24,17 @@
 
 @attrs.frozen(kw_only=True)
 class Gossip:
-    """One message or its answer.
+    """A gossip message or its answer.
 
     Attributes:
-        kind: Why it is sent.
+        kind: Its purpose.
         sender: The sender's own entry.
-        updates: News of other daemons.
-        digest: A hash of the sender's whole table.
-        riders: Values added by others, by key.
-        target: Whom to probe, where the kind is ASK.
-        digests: The sender's bucket hashes, where the kind is PULL.
-        reached: Whether the target answered, in the answer to ASK.
+        updates: Entries of other daemons.
+        digest: A hash of the sender's member table.
+        riders: Values of attachments, by key.
+        target: The address to probe, if the kind is ASK.
+        digests: The sender's bucket hashes, if the kind is PULL.
+        reached: Whether the target answered, in an answer to ASK.
     """
 
     kind: GossipKind
@@ -47,8 +47,8 @@
     reached: bool = False
 
     def encode(self) -> dict[str, Any]:
-        """Returns the message as it travels, without empty parts."""
-        parts: dict[str, Any] = {
+        """Returns the message as a JSON object, without empty fields."""
+        fields: dict[str, Any] = {
             "kind": self.kind,
             "from": self.sender.encode(),
             "updates": [member.encode() for member in self.updates],
@@ -58,11 +58,11 @@
             "digests": list(self.digests),
             "reached": self.reached,
         }
-        return {key: value for key, value in parts.items() if value}
+        return {key: value for key, value in fields.items() if value}
 
 
 def decode_gossip(value: dict[str, Any]) -> Result[Gossip, Failure]:
-    """Reads a message."""
+    """Decodes a message."""
     try:
         kind = GossipKind(value["kind"])
         updates = [decode_member(item) for item in value.get("updates", [])]
@@ -70,7 +70,7 @@
         riders = dict(value.get("riders", {}))
         digests = tuple(map(str, value.get("digests", ())))
     except (KeyError, TypeError, ValueError) as error:
-        return Err(_bad(repr(error)))
+        return Err(_invalid(repr(error)))
     if isinstance(sender, Err):
         return sender
     for update in updates:
@@ -90,8 +90,8 @@
     )
 
 
-def _bad(detail: str) -> Failure:
+def _invalid(detail: str) -> Failure:
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        detail=f"This is not a message of membership: {detail}",
+        detail=f"invalid gossip message: {detail}",
     )
--- a/cactusdyke/membership/probe_schedule.py
+++ b/cactusdyke/membership/probe_schedule.py
@@ -1,4 +1,4 @@
-"""Whom a daemon probes next."""
+"""Choice of the daemons to probe."""
 
 from __future__ import annotations
 
@@ -18,40 +18,41 @@
 
 
 class ProbeSchedule:
-    """Goes through the daemons in shuffled rounds.
+    """Iterates over the daemons in shuffled rounds.
 
-    Two of three probes go to the own data centre, where load reports ride
-    on them; each third goes through all daemons. Every daemon is probed by
-    some other about once an interval whatever the size of the fleet.
+    Two of three probes go to this daemon's own data centre, because load
+    reports are attached to them; each third goes to any daemon. Every daemon
+    is probed about once per interval, whatever the size of the fleet.
     """
 
     def __init__(self, *, table: MemberTable, rng: random.Random) -> None:
         self._table = table
         self._rng = rng
         self._tick = 0
-        self._near: list[str] = []
+        self._local: list[str] = []
         self._all: list[str] = []
 
     def next_target(self) -> Member | None:
         """Returns the daemon to probe now, or None if there is none."""
         self._tick += 1
         if self._tick % GLOBAL_PROBE_INTERVAL:
-            member = self._take(self._near, near=True)
+            member = self._pop(self._local, local=True)
             if member is not None:
                 return member
-        return self._take(self._all, near=False)
+        return self._pop(self._all, local=False)
 
     def helpers(self, target: Member) -> list[Member]:
-        """Returns daemons to probe the target in this one's stead.
+        """Returns daemons for an indirect probe of the target.
 
-        Most stand in other data centres, whose way to the target is another.
+        Most are in other data centres, whose network path to the target is
+        a different one.
         """
-        candidates = [m for m in self._known() if m.name != target.name]
+        candidates = [m for m in self._candidates() if m.name != target.name]
         self._rng.shuffle(candidates)
         own = self._table.own.data_centre
-        here = [m for m in candidates if m.data_centre == own]
-        elsewhere = [m for m in candidates if m.data_centre != own]
-        chosen = elsewhere[:REMOTE_HELPERS] + here[:LOCAL_HELPERS]
+        local = [m for m in candidates if m.data_centre == own]
+        remote = [m for m in candidates if m.data_centre != own]
+        chosen = remote[:REMOTE_HELPERS] + local[:LOCAL_HELPERS]
         wanted = REMOTE_HELPERS + LOCAL_HELPERS
         rest = [m for m in candidates if m not in chosen]
         return chosen + rest[: wanted - len(chosen)]
@@ -60,28 +61,30 @@
         self, count: int, *, exclude: Sequence[str] = ()
     ) -> list[Member]:
         """Returns a few daemons at random."""
-        candidates = [m for m in self._known() if m.name not in exclude]
+        candidates = [m for m in self._candidates() if m.name not in exclude]
         return self._rng.sample(candidates, min(count, len(candidates)))
 
-    def _known(self) -> list[Member]:
+    def _candidates(self) -> list[Member]:
         return sorted(
             self._table.others(exclude={MemberState.DEAD}),
             key=lambda member: member.name,
         )
 
-    def _take(self, waiting: list[str], *, near: bool) -> Member | None:
+    def _pop(self, queue: list[str], *, local: bool) -> Member | None:
         for _ in range(2):
-            while waiting:
-                member = self._table.find(waiting.pop())
+            while queue:
+                member = self._table.find(queue.pop())
                 if member and member.state is not MemberState.DEAD:
                     return member
-            waiting.extend(self._shuffled(near=near))
+            queue.extend(self._shuffled(local=local))
         return None
 
-    def _shuffled(self, *, near: bool) -> list[str]:
+    def _shuffled(self, *, local: bool) -> list[str]:
         own = self._table.own.data_centre
         names = [
-            m.name for m in self._known() if not near or m.data_centre == own
+            m.name
+            for m in self._candidates()
+            if not local or m.data_centre == own
         ]
         self._rng.shuffle(names)
         return names
--- a/cactusdyke/membership/prober.py
+++ b/cactusdyke/membership/prober.py
@@ -1,4 +1,4 @@
-"""Finds out which daemons answer, and doubts itself first."""
+"""Failure detector that considers a fault of its own daemon first."""
 
 from __future__ import annotations
 
@@ -25,36 +25,37 @@
 
 
 class Prober:
-    """Probes one daemon at a time, through others where it doesn't answer.
+    """Probes one daemon at a time, and indirectly if it does not answer.
 
-    The doubt about this daemon itself grows with each probe that neither the
-    target nor any helper answered, and lengthens the time-outs.
+    The suspicion that this daemon itself is at fault grows with each probe
+    that neither the target nor any helper answers. It lengthens the time-out
+    of direct probes.
     """
 
     def __init__(
         self,
         *,
         table: MemberTable,
-        rounds: ProbeSchedule,
+        schedule: ProbeSchedule,
         exchange: Exchange,
         clock: Clock,
     ) -> None:
         self._table = table
-        self._rounds = rounds
+        self._schedule = schedule
         self._exchange = exchange
         self._clock = clock
         self._self_suspicion = 0
 
     @property
     def isolated(self) -> bool:
-        """Whether nobody has answered for several probes."""
+        """Whether several probes have gone without any answer."""
         return self._self_suspicion >= MAX_SELF_SUSPICION
 
     def on_pause(self) -> None:
-        """Notes that this daemon itself stood still."""
-        # A frozen daemon wakes with probes out of time and suspicions run
-        # out, and would declare half the fleet dead (seen as a burst of
-        # contradictions). Nobody can have answered it while it stood still.
+        """Restarts all suspicion timers after a pause of this process."""
+        # After a pause, probes and suspicion timers have expired, and the
+        # daemon would declare half the fleet dead (seen as a burst of
+        # refutations). No answer can arrive while the process is paused.
         self._table.restart_suspicion_timers()
         events.log(events.Event.DAEMON_PAUSED, daemon=self._table.own.name)
 
@@ -71,7 +72,7 @@
         if isinstance(answer, Ok):
             self._on_answer()
             if answer.ok_value.sender.name != member.name:
-                # Another daemon has taken the address: its host was replaced.
+                # The host was replaced: another daemon has this address now.
                 self._table.mark_dead(member.name)
             return answer.ok_value
         if not self._was_paused(began, 2 * timeout_ms):
@@ -79,10 +80,10 @@
         return None
 
     async def _probe_indirectly(self, member: Member) -> None:
-        helpers = self._rounds.helpers(member)
+        helpers = self._schedule.helpers(member)
         answers: list[bool] = []
 
-        async def ask(helper: Member) -> None:
+        async def probe_through(helper: Member) -> None:
             answer = await self._exchange.send(
                 GossipKind.ASK,
                 helper.address,
@@ -96,7 +97,7 @@
         began = self._clock.now()
         async with anyio.create_task_group() as tasks:
             for helper in helpers:
-                tasks.start_soon(ask, helper)
+                tasks.start_soon(probe_through, helper)
         if self._was_paused(began, 2 * INDIRECT_PROBE_CALL_TIMEOUT_MS) or any(
             answers
         ):
@@ -104,22 +105,22 @@
         if answers:
             self._on_answer()
         elif helpers and not self.isolated:
-            # Neither the target nor anybody else answered: this daemon's own
-            # way out is the likelier fault.
+            # Neither the target nor any helper answered: a fault of this
+            # daemon's own network is more likely.
             self._self_suspicion += 1
             return
         self._table.suspect(member.name)
 
     def _on_answer(self) -> None:
         if self.isolated:
-            # What a daemon thought of others while nobody answered it is
-            # worth nothing. If it spread that, each of them would have to
-            # contradict. It learns the table anew instead.
+            # Suspicions that arose while this daemon was isolated are
+            # unreliable. If they spread, each suspected daemon would have to
+            # refute them. The entries are fetched again instead.
             self._table.forget_unreachable()
         self._self_suspicion = max(0, self._self_suspicion - 1)
 
     def _was_paused(self, began: Instant, allowed_ms: float) -> bool:
-        late = self._clock.now() - began > allowed_ms + MIN_PAUSE_MS
-        if late:
+        paused = self._clock.now() - began > allowed_ms + MIN_PAUSE_MS
+        if paused:
             self.on_pause()
-        return late
+        return paused
--- a/cactusdyke/membership/table.py
+++ b/cactusdyke/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of daemons: which news is taken, and which is passed on."""
+"""Member table: merges received updates and selects those to send."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class MemberTable:
-    """What this daemon knows of all daemons, itself included.
+    """Entries of all daemons, this one included.
 
-    News is ordered by incarnation, then by state. Only a daemon itself raises
-    its incarnation, so that its own word overrides what others say of it.
+    Updates are ordered by incarnation, then by state. Only a daemon itself
+    raises its incarnation, so that its own updates override those of others.
     """
 
     def __init__(self, *, own: Member, clock: Clock) -> None:
@@ -39,7 +39,7 @@
         self._sends_left: dict[str, int] = {}
         self._digests: tuple[str, ...] | None = None
         self._names: tuple[str, ...] | None = None
-        self._on_leaving: Callable[[], None] = lambda: None
+        self._leaving_hook: Callable[[], None] = lambda: None
         self._queue_update(own)
 
     @property
@@ -49,14 +49,14 @@
 
     @property
     def digests(self) -> tuple[str, ...]:
-        """A hash of each bucket of daemons that are not dead."""
+        """Hashes of the buckets of daemons that are not dead."""
         if self._digests is None:
             self._digests = self._hash_buckets()
         return self._digests
 
     @property
     def digest(self) -> str:
-        """A hash of the whole table."""
+        """A hash of all daemons that are not dead."""
         return xxhash.xxh32_hexdigest("".join(self.digests).encode())
 
     @property
@@ -71,16 +71,20 @@
         return [self._own, *(self.others(exclude={MemberState.DEAD}))]
 
     def others(self, *, exclude: Iterable[MemberState] = ()) -> list[Member]:
-        """Returns the other daemons, but for some states."""
-        left_out = frozenset(exclude)
-        return [m for m in self._others.values() if m.state not in left_out]
+        """Returns the other daemons, except those in some states."""
+        excluded = frozenset(exclude)
+        return [m for m in self._others.values() if m.state not in excluded]
 
     def find(self, name: str) -> Member | None:
-        """Returns a daemon by name, this one and dead ones included."""
+        """Returns a daemon by name; this one and dead ones are included."""
         return self._own if name == self._own.name else self._others.get(name)
 
     def refute(self, *, state: MemberState | None = None) -> None:
-        """Speaks for this daemon under a new incarnation."""
+        """Raises this daemon's incarnation, which overrides earlier updates.
+
+        Args:
+            state: The new state of this daemon; None leaves it unchanged.
+        """
         self._own = attrs.evolve(
             self._own,
             incarnation=self._own.incarnation + 1,
@@ -90,11 +94,14 @@
         self._queue_update(self._own)
 
     def on_leaving(self, hook: Callable[[], None]) -> None:
-        """Calls `hook` when another daemon is first heard to leave."""
-        self._on_leaving = hook
+        """Calls `hook` when another daemon changes to leaving."""
+        self._leaving_hook = hook
 
     def record_revision(self, name: str, revision: int) -> None:
-        """Keeps the highest revision heard of a daemon's incarnation."""
+        """Records the revision in force at a daemon.
+
+        For another daemon's incarnation, only a higher one is recorded.
+        """
         if name == self._own.name:
             self._own = attrs.evolve(self._own, revision=revision)
             return
@@ -103,7 +110,7 @@
             self._others[name] = attrs.evolve(known, revision=revision)
 
     def merge(self, update: Member) -> None:
-        """Takes news of a daemon if it is newer than what is known."""
+        """Merges an update if it is newer than the known entry."""
         if update.name == self._own.name:
             self._merge_own(update)
             return
@@ -115,18 +122,18 @@
             if update.incarnation == known.incarnation:
                 self.record_revision(update.name, update.revision)
             return
-        if update.state is MemberState.DEAD and _serves(known):
-            # After a cut heals, each side tells the other that its daemons are
-            # dead, and a daemon that believed it would for a while have no
-            # address left to give. Hearsay therefore only begins suspicion:
-            # who lives contradicts it before this daemon's own time is up.
+        if update.state is MemberState.DEAD and _is_serving(known):
+            # After a network partition heals, each side reports the other's
+            # daemons as dead; a daemon that accepted this would have no
+            # address for callers for a while. Such a report therefore only
+            # starts a suspicion: a live daemon refutes it in time.
             update = attrs.evolve(update, state=MemberState.SUSPECTED)
             if update.precedence <= known.precedence:
                 return
         self._store(update)
 
     def suspect(self, name: str) -> None:
-        """Suspects a daemon that could not be reached."""
+        """Marks a daemon as suspected after a failed probe."""
         known = self._others.get(name)
         if known is None or known.state is MemberState.DEAD:
             return
@@ -136,42 +143,42 @@
             self._start_timer(name)
 
     def mark_dead(self, name: str) -> None:
-        """Declares a daemon dead at once, on proof."""
+        """Marks a daemon as dead at once, without a time-out."""
         known = self._others.get(name)
         if known is not None and known.state is not MemberState.DEAD:
             self._store(attrs.evolve(known, state=MemberState.DEAD))
 
     def expire_entries(self) -> None:
-        """Declares those dead whose time to contradict is over."""
+        """Marks daemons dead whose suspicion timed out; drops old dead ones."""
         now = self._clock.now()
         for name, deadline in list(self._deadlines.items()):
             if deadline <= now:
                 self.mark_dead(name)
         for name, died_at in list(self._died_at.items()):
             if now - died_at > TOMBSTONE_MS:
-                self._forget(name)
+                self._remove(name)
 
     def restart_suspicion_timers(self) -> None:
-        """Gives every suspected daemon its whole time anew."""
+        """Gives every suspected daemon the full time to refute again."""
         for name in list(self._deadlines):
             self._deadlines[name] = (
                 self._clock.now() + self.suspicion_timeout_ms()
             )
 
     def forget_unreachable(self) -> None:
-        """Forgets every daemon that is suspected or believed dead."""
+        """Removes the entries of all suspected and dead daemons."""
         for name, member in list(self._others.items()):
             if member.state in {MemberState.SUSPECTED, MemberState.DEAD}:
-                self._forget(name)
+                self._remove(name)
         self._invalidate_caches()
 
     def suspicion_timeout_ms(self) -> float:
-        """Returns how long a suspected daemon may contradict."""
+        """Returns how long a suspected daemon has to refute."""
         count = len(self._others) + 1
         return SUSPICION_MS * max(1.0, math.log10(count))
 
     def next_updates(self, *, limit: int, receiver: str = "") -> list[Member]:
-        """Returns the news to send next, which counts as sent."""
+        """Returns the updates to send next and counts them as sent."""
         chosen = heapq.nlargest(
             limit, self._sends_left, key=self._sends_left.__getitem__
         )
@@ -195,8 +202,8 @@
         ]
 
     def _merge_own(self, news: Member) -> None:
-        # What a former run of this daemon said, or others of it, may carry a
-        # higher incarnation than the clock gave, if the clock stepped back.
+        # If the clock was set back, updates from an earlier run of this
+        # daemon may have a higher incarnation than the one from the clock.
         wrong = news.state is not self._own.state or (
             news.address != self._own.address
         )
@@ -225,13 +232,13 @@
                 incarnation=member.incarnation,
             )
             if member.state is MemberState.LEAVING:
-                self._on_leaving()
+                self._leaving_hook()
 
     def _start_timer(self, name: str) -> None:
         deadline = self._clock.now() + self.suspicion_timeout_ms()
         self._deadlines.setdefault(name, deadline)
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self._others.pop(name, None)
         self._deadlines.pop(name, None)
         self._died_at.pop(name, None)
@@ -259,9 +266,9 @@
 
 
 def bucket_of(name: str) -> int:
-    """Returns the bucket that a daemon's entry is compared in."""
+    """Returns the number of the digest bucket of a daemon's entry."""
     return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
 
 
-def _serves(member: Member) -> bool:
+def _is_serving(member: Member) -> bool:
     return member.state in {MemberState.LIVE, MemberState.SUSPECTED}
