--- a/features/peers/peers.feature
+++ b/features/peers/peers.feature
@@ -1,21 +1,21 @@
-Feature: the paths between daemons are for the deployment's daemons
+Feature: internal paths accept only the daemons of the deployment
 
-  Scenario: a stranger's gossip is refused and changes nothing
-    # Somebody who can reach an entry host posts gossip that names his own
-    # machine a live daemon. Callers would be told its address, and would send
-    # it their tokens.
+  Scenario: gossip from an unauthorized host is refused and has no effect
+    # An attacker who can reach an entry host posts gossip that lists another
+    # machine as a live daemon. Callers would be given its address and would
+    # send it their tokens.
     Given a peers deployment of 3 daemons
-    When a stranger posts gossip that names itself a daemon
-    Then the stranger is refused as forbidden
-    And no caller is told the stranger's address
+    When an unauthorized host posts gossip with itself as a daemon
+    Then the unauthorized host is refused as forbidden
+    And no caller is given the address of the unauthorized host
 
-  Scenario: a stranger can't read the configuration between daemons
+  Scenario: an unauthorized host can't read the configuration from a daemon
     Given a peers deployment of 3 daemons
-    When a stranger asks for the configuration's head with a wrong token
-    Then the stranger is refused as forbidden
+    When an unauthorized host requests the configuration's head with a wrong token
+    Then the unauthorized host is refused as forbidden
 
-  Scenario: a list of addresses never outlives a stopping daemon's linger
-    # A plain caller keeps a list for the lifetime it was told. A daemon that
-    # stopped meanwhile and closed its port would cut that caller's request.
+  Scenario: the lifetime of a list of addresses is shorter than a daemon's linger
+    # A plain caller keeps a list for the lifetime in the answer. If a daemon
+    # in the list closed its port before that, the caller's request would fail.
     Given a peers deployment of 3 daemons
-    Then its addresses are valid for less than a stop lingers
+    Then its addresses are valid for less than the linger of a stop
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of membership, in virtual time."""
+"""Steps for membership, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from features.support.member_fleet import MemberFleet
 from features.support.membership_machine import (
     SETTINGS,
-    Broken,
+    InvariantViolation,
     MembershipMachine,
 )
 from standins.virtual import run_virtual
@@ -23,43 +23,43 @@
     kind = FullMeshMembers
 
 
-def _machine(context, machine):
-    context.broken = None
+def _run_machine(context, machine):
+    context.violation = None
     try:
         run_state_machine_as_test(machine, settings=SETTINGS)
-    except Broken as broken:
-        context.broken = broken
+    except InvariantViolation as violation:
+        context.violation = violation
 
 
 @when("membership runs through any faults")
 def when_machine(context):
-    _machine(context, MembershipMachine)
+    _run_machine(context, MembershipMachine)
 
 
 @when("naive membership runs through any faults")
 def when_naive(context):
-    _machine(context, _NaiveMachine)
+    _run_machine(context, _NaiveMachine)
 
 
 @then("membership kept its invariants")
 def then_kept(context):
-    assert context.broken is None, context.broken
+    assert context.violation is None, context.violation
 
 
-@then("membership broke an invariant")
+@then("membership violated an invariant")
 def then_broke(context):
-    assert context.broken is not None
+    assert context.violation is not None
 
 
-class _Story:
-    """Steps add actions and checks; `end` runs them in one virtual time."""
+class _Plan:
+    """Collects the actions and checks of steps, for one run in order."""
 
     def __init__(self, count, prepare=None):
         self.count = count
         self.prepare = prepare
         self.parts = []
 
-    def end(self):
+    def run(self):
         run_virtual(self._run)
 
     async def _run(self):
@@ -73,15 +73,15 @@
 
 
 def _all_listed(fleet):
-    everyone = set(fleet.daemons)
+    all_names = set(fleet.daemons)
     return fleet.agree() and all(
-        fleet.listed(name) == everyone for name in fleet.daemons
+        fleet.listed(name) == all_names for name in fleet.daemons
     )
 
 
-def _part(context, last=False):
+def _add_part(context, last=False):
     def add(function):
-        context.story.parts.append(function)
+        context.plan.parts.append(function)
         return function
 
     return add
@@ -89,7 +89,7 @@
 
 @given("a membership of {count:d} daemons")
 def given_fleet(context, count):
-    context.story = _Story(count)
+    context.plan = _Plan(count)
 
 
 @given("a membership of {count:d} daemons that attach their demand")
@@ -103,18 +103,18 @@
                 "demand", lambda n=name: {"of": n}, seen.__setitem__
             )
 
-    context.story = _Story(count, prepare)
+    context.plan = _Plan(count, prepare)
 
 
 @when("membership freezes {name} for {seconds:d} seconds")
 def when_freeze(context, name, seconds):
-    @_part(context)
+    @_add_part(context)
     async def freeze(fleet):
         fleet.hub.freeze(name)
         await fleet.hub.clock.sleep(seconds * 1000)
         fleet.hub.wake(name)
 
-    context.odd_one = name
+    context.faulty = name
 
 
 @when(
@@ -122,7 +122,7 @@
     " {other}"
 )
 def when_freeze_suspecting(context, name, seconds, other):
-    @_part(context)
+    @_add_part(context)
     async def freeze(fleet):
         def suspected():
             return any(
@@ -132,7 +132,7 @@
 
         fleet.hub.freeze(other)
         await fleet.until(suspected, limit_ms=20_000)
-        # A suspended host takes no connections either.
+        # A suspended host accepts no connections either.
         fleet.hub.freeze(name)
         for peer in fleet.names:
             fleet.cut(peer, name)
@@ -142,14 +142,14 @@
         fleet.heal()
         fleet.hub.wake(name)
 
-    context.odd_one = name
+    context.faulty = name
 
 
 @when(
     "membership freezes {name} for {seconds:d} seconds in the middle of a probe"
 )
 def when_freeze_probing(context, name, seconds):
-    @_part(context)
+    @_add_part(context)
     async def freeze(fleet):
         other = next(n for n in fleet.names if n != name)
         fleet.hub.link(name, other).delay_ms = 200
@@ -168,10 +168,10 @@
 
 @then(
     "in membership {name} keeps {other} in the {seconds:d} seconds after it"
-    " wakes"
+    " resumes"
 )
 def then_keeps(context, name, other, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         for _ in range(seconds * 10):
             await fleet.hub.clock.sleep(100)
@@ -179,51 +179,51 @@
 
 
 @then(
-    "in membership {name} suspects nobody in the {seconds:d} seconds after it"
-    " wakes"
+    "in membership {name} suspects no other in the {seconds:d} seconds after it"
+    " resumes"
 )
-def then_suspects_nobody(context, name, seconds):
-    @_part(context)
+def then_suspects_none(context, name, seconds):
+    @_add_part(context)
     async def check(fleet):
         for _ in range(seconds * 10):
             await fleet.hub.clock.sleep(100)
             for member in fleet.daemons[name].members.all():
                 assert member.state is MemberState.LIVE, member
 
-    context.story.end()
+    context.plan.run()
 
 
 @when("membership cuts {name} off from {other} alone")
 def when_pair(context, name, other):
-    @_part(context)
+    @_add_part(context)
     async def cut(fleet):
         fleet.cut(name, other)
 
 
 @when("membership cuts {name} off from all others for {seconds:d} seconds")
 def when_isolate(context, name, seconds):
-    @_part(context)
+    @_add_part(context)
     async def isolate(fleet):
         for other in fleet.names:
             fleet.cut(name, other)
         await fleet.hub.clock.sleep(seconds * 1000)
         fleet.heal()
 
-    context.odd_one = name
+    context.faulty = name
 
 
 @when("membership cuts the regions for {seconds:d} seconds")
 def when_regions(context, seconds):
-    @_part(context)
+    @_add_part(context)
     async def cut(fleet):
         fleet.cut_region()
         await fleet.hub.clock.sleep(seconds * 1000)
         fleet.heal()
-        context.before = {
+        context.sent_before = {
             n: d.traffic.messages_sent for n, d in fleet.daemons.items()
         }
-        context.most = 0
-        context.fewest = 1.0
+        context.max_messages = 0
+        context.min_share = 1.0
         fleet.hub.start(count, fleet)
 
     async def count(fleet):
@@ -231,22 +231,28 @@
             await fleet.hub.clock.sleep(1000)
             for name, daemon in list(fleet.daemons.items()):
                 sent = daemon.traffic.messages_sent
-                context.most = max(context.most, sent - context.before[name])
-                context.before[name] = sent
+                context.max_messages = max(
+                    context.max_messages, sent - context.sent_before[name]
+                )
+                context.sent_before[name] = sent
                 region = fleet.place(name)[1]
-                near = [n for n in fleet.names if fleet.place(n)[1] == region]
-                share = len(fleet.listed(name)) / len(near)
-                context.fewest = min(context.fewest, share)
+                in_region = [
+                    n for n in fleet.names if fleet.place(n)[1] == region
+                ]
+                share = len(fleet.listed(name)) / len(in_region)
+                context.min_share = min(context.min_share, share)
 
 
-@then("in membership each daemon gives half of its region or more all the time")
+@then(
+    "in membership each daemon lists at least half of its region all the time"
+)
 def then_half(context):
-    assert context.fewest >= 0.5, context.fewest
+    assert context.min_share >= 0.5, context.min_share
 
 
 @when("membership restarts {name} with its clock an hour behind")
 def when_clock(context, name):
-    @_part(context)
+    @_add_part(context)
     async def restart(fleet):
         fleet.kill(name)
         fleet.skew_ms = -3_600_000
@@ -255,7 +261,7 @@
 
 @when("membership puts {name} at the address of {other}")
 def when_replace(context, name, other):
-    @_part(context)
+    @_add_part(context)
     async def replace(fleet):
         fleet.kill(other)
         fleet.names.append(name)
@@ -264,14 +270,14 @@
 
 @when("membership lets {name} leave")
 def when_leave(context, name):
-    @_part(context)
+    @_add_part(context)
     async def leave(fleet):
         await fleet.leave(name)
 
 
 @when("membership has revision {revision:d} in force at all but {name}")
 def when_revision(context, revision, name):
-    @_part(context)
+    @_add_part(context)
     async def apply(fleet):
         for other, daemon in fleet.daemons.items():
             daemon.revision = revision if other != name else revision - 1
@@ -281,19 +287,19 @@
 
 @then(
     "in membership no other daemon is suspected in the {seconds:d}"
-    " seconds after it wakes"
+    " seconds after it resumes"
 )
 def then_unsuspected(context, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         for _ in range(seconds * 10):
             await fleet.hub.clock.sleep(100)
             for name, daemon in fleet.daemons.items():
-                if name == context.odd_one:
+                if name == context.faulty:
                     continue
                 for member in daemon.members.all():
-                    accused = member.state is MemberState.SUSPECTED
-                    assert not accused or member.name == context.odd_one, (
+                    suspected = member.state is MemberState.SUSPECTED
+                    assert not suspected or member.name == context.faulty, (
                         name,
                         member,
                     )
@@ -301,21 +307,21 @@
 
 @then("in membership every daemon knows all within {seconds:d} seconds")
 def then_known(context, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         await fleet.until(fleet.agree, limit_ms=seconds * 1000)
         await fleet.hub.clock.sleep(seconds * 1000)
 
-    context.story.end()
+    context.plan.run()
 
 
 @then("in membership every daemon lists all within {seconds:d} seconds")
 def then_listed(context, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         await fleet.until(lambda: _all_listed(fleet), limit_ms=seconds * 1000)
 
-    context.story.end()
+    context.plan.run()
 
 
 @then(
@@ -323,12 +329,12 @@
     " within {seconds:d} seconds"
 )
 def then_replaced(context, gone, new, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         assert gone not in fleet.daemons and new in fleet.daemons
         await fleet.until(fleet.agree, limit_ms=seconds * 1000)
 
-    context.story.end()
+    context.plan.run()
 
 
 @then(
@@ -336,36 +342,36 @@
     " for {seconds:d} seconds"
 )
 def then_stay(context, name, other, seconds):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         for _ in range(seconds):
             await fleet.hub.clock.sleep(1000)
             for daemon in fleet.daemons:
                 assert {name, other} <= fleet.listed(daemon)
 
-    context.story.end()
+    context.plan.run()
 
 
 @then(
     "in membership no daemon sends more than {most:d} messages"
-    " in any second of it"
+    " in any second of the merge"
 )
 def then_no_burst(context, most):
-    assert 0 < context.most <= most, context.most
+    assert 0 < context.max_messages <= most, context.max_messages
 
 
 @then("in membership no daemon lists {name} after 1 second")
 def then_unlisted(context, name):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         await fleet.hub.clock.sleep(1000)
         for daemon in fleet.daemons:
             assert name not in fleet.listed(daemon)
 
-    context.story.end()
+    context.plan.run()
 
 
-def _told(fleet, expected, exclude=()):
+def _all_report(fleet, expected, exclude=()):
     return all(
         member.revision == expected(member.name)
         for name, daemon in fleet.daemons.items()
@@ -374,21 +380,25 @@
     )
 
 
-@then("in membership every daemon tells so within {seconds:d} seconds")
-def then_told(context, seconds):
-    @_part(context)
+@then(
+    "in membership every daemon reports these revisions within"
+    " {seconds:d} seconds"
+)
+def then_all_report(context, seconds):
+    @_add_part(context)
     async def check(fleet):
         await fleet.until(
-            lambda: _told(fleet, context.expected), limit_ms=seconds * 1000
+            lambda: _all_report(fleet, context.expected),
+            limit_ms=seconds * 1000,
         )
 
 
 @then(
     "in membership of {name} restarted with nothing in force"
-    " nobody tells revision 7"
+    " no daemon reports revision 7"
 )
-def then_not_told(context, name):
-    @_part(context)
+def then_none_reports(context, name):
+    @_add_part(context)
     async def check(fleet):
         fleet.kill(name)
         fleet.start(name)
@@ -401,7 +411,7 @@
                     if member.incarnation >= own.incarnation:
                         assert member.name != name or member.revision == 0
 
-    context.story.end()
+    context.plan.run()
 
 
 @then(
@@ -409,7 +419,7 @@
     " within 15 seconds"
 )
 def then_read(context):
-    @_part(context)
+    @_add_part(context)
     async def check(fleet):
         def done():
             return all(
@@ -419,7 +429,7 @@
 
         await fleet.until(done, limit_ms=15_000)
 
-    context.story.end()
+    context.plan.run()
 
 
 @when("the membership case of the bench runs tiny")
@@ -432,26 +442,26 @@
     project = [r for r in context.rows if r["version"] == "project"]
     naive = [r for r in context.rows if r["version"] == "naive"]
     assert project and naive
-    # The project's messages do not grow with the fleet, the naive ones do.
+    # Only the naive version's message rate grows with the fleet.
     counts = [row["messages_per_s"] for row in project]
     assert max(counts) <= 1.5
     assert naive[-1]["messages_per_s"] > naive[0]["messages_per_s"] * 1.5
 
 
-@when("six daemons start in two groups that hear of each other a second later")
+@when("six daemons start in two groups that are connected a second later")
 def two_groups_start(context):
     async def run():
         async with MemberFleet() as fleet:
             fleet.names = [f"d-{n}" for n in range(6)]
-            few = {"d-2", "d-4"}
+            smaller_group = {"d-2", "d-4"}
             for one in fleet.names:
                 for other in fleet.names:
-                    if (one in few) != (other in few):
+                    if (one in smaller_group) != (other in smaller_group):
                         fleet.cut(one, other)
             for name in fleet.names:
                 fleet.start(name)
             await fleet.hub.clock.sleep(1_000)
-            context.apart = not _all_listed(fleet)
+            context.were_split = not _all_listed(fleet)
             fleet.heal()
             context.joined_ms = await fleet.until(
                 lambda: _all_listed(fleet), limit_ms=JOIN_MS
@@ -460,7 +470,7 @@
     run_virtual(run)
 
 
-@then("all are listed by all within {limit_ms:d} ms of that")
+@then("after that, every daemon lists all within {limit_ms:d} ms")
 def joined_within(context, limit_ms):
-    assert context.apart
+    assert context.were_split
     assert context.joined_ms <= limit_ms, context.joined_ms
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the paths between daemons."""
+"""Steps for the internal paths between daemons."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from features.support.deployment import Deployment
 from standins.virtual import run_virtual
 
-STRANGER = "stranger:1"
+UNAUTHORIZED = "unauthorized:1"
 
 
-def _play(context, request):
+def _fetch(context, request):
     async def run():
         async with Deployment() as deployment:
             await deployment.start_daemons(context.daemon_count)
             await deployment.hub.clock.sleep(5_000)
             context.linger_ms = deployment.linger_ms
-            network = deployment.hub.network("stranger")
+            network = deployment.hub.network("unauthorized")
             answer = await network.fetch("entry-1:1", request, CallOptions())
             context.answer = answer.unwrap()
             asked = await network.fetch(
@@ -43,7 +43,7 @@
     context.daemon_count = count
 
 
-@when("a stranger posts gossip that names itself a daemon")
+@when("an unauthorized host posts gossip with itself as a daemon")
 def when_gossip(context):
     async def capture():
         async with Deployment() as deployment:
@@ -60,23 +60,25 @@
             await deployment.hub.clock.sleep(5_000)
             return seen[0]
 
-    # A real daemon's message, with the stranger's address in its place.
+    # A real daemon's message with the unauthorized host's address.
     genuine = run_virtual(capture)
-    body = genuine.body.replace(b"entry-2:1", STRANGER.encode())
+    body = genuine.body.replace(b"entry-2:1", UNAUTHORIZED.encode())
     body = body.replace(b"entry-2", b"entry-9")
-    assert STRANGER.encode() in body
-    _play(context, Request(method="POST", path=GOSSIP_PATH, body=body))
+    assert UNAUTHORIZED.encode() in body
+    _fetch(context, Request(method="POST", path=GOSSIP_PATH, body=body))
 
 
-@when("a stranger asks for the configuration's head with a wrong token")
+@when(
+    "an unauthorized host requests the configuration's head with a wrong token"
+)
 def when_head(context):
-    _play(
+    _fetch(
         context,
         Request(method="GET", path=HEAD_PATH, headers={PEER_HEADER: "wrong"}),
     )
 
 
-@then("the stranger is refused as forbidden")
+@then("the unauthorized host is refused as forbidden")
 def then_forbidden(context):
     assert context.answer.status == 403, context.answer
     error = orjson.loads(context.answer.body)["error"]
@@ -84,13 +86,13 @@
     assert context.with_token != 403
 
 
-@then("no caller is told the stranger's address")
+@then("no caller is given the address of the unauthorized host")
 def then_not_told(context):
     listed = [a["address"] for a in context.addresses["addresses"]]
     assert sorted(listed) == ["entry-1:1", "entry-2:1", "entry-3:1"]
 
 
-@then("its addresses are valid for less than a stop lingers")
+@then("its addresses are valid for less than the linger of a stop")
 def then_short(context):
-    _play(context, Request(method="GET", path="/health"))
+    _fetch(context, Request(method="GET", path="/health"))
     assert 0 < context.addresses["lifetime_ms"] < context.linger_ms
--- a/features/support/load_fleet.py
+++ b/features/support/load_fleet.py
@@ -25,7 +25,7 @@
     ) -> None:
         self.collector = collector
         self.replicas = replicas
-        self.fleet = MemberFleet(equip=self._equip, seed=seed)
+        self.fleet = MemberFleet(make_services=self._equip, seed=seed)
         self.engines: dict[str, Engine] = {}
         self.host_list: Any = NoHosts()
         self.configuration = _configuration(replicas)
--- a/features/support/member_fleet.py
+++ b/features/support/member_fleet.py
@@ -1,4 +1,4 @@
-"""Many daemons' membership alone, over one hub in virtual time."""
+"""Membership services of many daemons on one hub, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class NoHosts(HostList):
-    """A host list that lists nobody."""
+    """An empty host list."""
 
     async def read(self):
         return Ok(())
@@ -31,7 +31,7 @@
 
 @attrs.define(kw_only=True)
 class Daemon:
-    """One daemon's membership and what it sent."""
+    """One daemon's membership service and its counted messages."""
 
     members: Any
     traffic: ControlTraffic
@@ -41,7 +41,7 @@
 
 
 class MemberFleet:
-    """Starts, kills, freezes, cuts and heals daemons by name."""
+    """Starts, kills and partitions daemons by name."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         kind: type = Members,
         seed: int = 0,
         skew_ms: int = 0,
-        equip: Any = None,
+        make_services: Any = None,
         hosts: HostList | None = None,
     ) -> None:
         self.hosts = hosts or NoHosts()
@@ -60,7 +60,7 @@
         self.cut_pairs: set[tuple[str, str]] = set()
         self.names: list[str] = []
         self.skew_ms = skew_ms
-        self.equip = equip
+        self.make_services = make_services
 
     async def __aenter__(self) -> MemberFleet:
         await self.hub.__aenter__()
@@ -76,7 +76,7 @@
         return PLACES[int(name.split("-")[1]) % len(PLACES)]
 
     def start_all(self, count: int) -> None:
-        """Starts daemons that know three seeds."""
+        """Starts daemons with the first three as seeds."""
         self.names = [f"d-{i}" for i in range(count)]
         for name in self.names:
             self.start(name)
@@ -121,8 +121,8 @@
         routes = Routes()
         routes.add("POST", GOSSIP_PATH, members.handle)
         self.daemons[name] = daemon
-        if self.equip:
-            daemon.services = self.equip(
+        if self.make_services:
+            daemon.services = self.make_services(
                 members=members, client=client, clock=clock, rng=rng
             )
         self.hub.listen(f"{host}:1", routes.handle, owner=host)
@@ -135,43 +135,43 @@
                     tasks.start_soon(service.run)
 
     def kill(self, name: str) -> None:
-        """Ends a daemon at once."""
+        """Kills a daemon."""
         self.hub.wake(name)
         self.hub.kill(name)
         self.daemons.pop(name).scope.cancel()
 
     async def leave(self, name: str) -> None:
-        """Lets a daemon say that it leaves; it goes on answering."""
+        """Makes a daemon announce that it leaves; it keeps answering."""
         await self.daemons[name].members.announce_stop()
 
     def cut(self, source: str, target: str) -> None:
-        """Cuts one direction between two daemons."""
+        """Cuts the link from one daemon to another, in this direction only."""
         self.hub.link(source, target).cut = True
         self.cut_pairs.add((source, target))
 
     def cut_region(self) -> None:
-        """Cuts the north off, in both directions."""
+        """Cuts all links between regions, in both directions."""
         for a in self.names:
             for b in self.names:
                 if self.place(a)[1] != self.place(b)[1]:
                     self.cut(a, b)
 
     def heal(self) -> None:
-        """Mends every cut."""
+        """Restores all cut links."""
         for source, target in self.cut_pairs:
             self.hub.link(source, target).cut = False
         self.cut_pairs.clear()
 
     def listed(self, name: str) -> set[str]:
-        """Returns whom a daemon gives to callers."""
+        """Returns the daemons that a daemon lists to callers."""
         return {m.name for m in self.daemons[name].members.serving()}
 
     def known(self, name: str) -> set[str]:
-        """Returns whom a daemon does not believe dead."""
+        """Returns the daemons that a daemon has not marked dead."""
         return {m.name for m in self.daemons[name].members.all()}
 
     def agree(self) -> bool:
-        """Returns whether all know all, each in its own incarnation."""
+        """Returns whether every daemon has all others at their incarnation."""
         incarnations = {
             n: d.members.own.incarnation for n, d in self.daemons.items()
         }
@@ -185,6 +185,6 @@
         began = self.hub.clock.now()
         while not condition():
             if self.hub.clock.now() - began > limit_ms:
-                raise AssertionError(f"not so within {limit_ms} ms")
+                raise AssertionError(f"condition not met within {limit_ms} ms")
             await self.hub.clock.sleep(50)
         return self.hub.clock.now() - began
--- a/features/support/membership_machine.py
+++ b/features/support/membership_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of membership; its oracle is a dictionary of states."""
+"""State machine of membership; its oracle is a dictionary of states."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 COUNT = 7
 QUIET_MS = 45_000.0
-LEAVE_HEARD_MS = 3_000.0
-# A probe, a retry, a pull, three asks, four probes for others, two rounds of
-# urgent news to three, and once the six that a leaving daemon tells.
-MOST_MESSAGES_A_SECOND = 22
-MEAN_MESSAGES_A_SECOND = 4.0
+LEAVE_SPREAD_MS = 3_000.0
+# A probe, a retry, a pull, three requests for indirect probes, four indirect
+# probes for others, two urgent updates to three daemons each, and once the six
+# messages of a leaving daemon.
+MAX_MESSAGES_PER_SECOND = 22
+MAX_MEAN_MESSAGES_PER_SECOND = 4.0
 NAMES = st.sampled_from([f"d-{i}" for i in range(COUNT)])
 SETTINGS = settings(
     max_examples=30,
@@ -24,18 +25,18 @@
     derandomize=True,
     database=None,
     deadline=None,
-    # A script takes a second; shrinking it would take minutes.
+    # A script runs for a second; shrinking it would take minutes.
     phases=(Phase.generate,),
     suppress_health_check=list(HealthCheck),
 )
 
 
-class Broken(Exception):
-    """An invariant that did not hold."""
+class InvariantViolation(Exception):
+    """A violated invariant of membership."""
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Rules write a script; the end runs it in virtual time and checks."""
+    """Rules write a script; teardown runs it in virtual time and checks it."""
 
     kind: type = Members
 
@@ -67,10 +68,10 @@
         if self.states[name] == "live":
             self.script.append(("freeze", name, seconds))
 
-    @rule(source=NAMES, sink=NAMES)
-    def cut_one_way(self, source, sink):
+    @rule(source=NAMES, destination=NAMES)
+    def cut_one_way(self, source, destination):
         self.disturbed = True
-        self.script.append(("cut", source, sink))
+        self.script.append(("cut", source, destination))
 
     @rule()
     def cut_region(self):
@@ -94,7 +95,7 @@
     def leave(self, name):
         if self.states[name] == "live" and len(self._is("live")) > 2:
             self.states[name] = "leaving"
-            # Only without faults must the news arrive in seconds.
+            # Updates must arrive within seconds only if there are no faults.
             self.script.append(("leave", name, not self.disturbed))
 
     @rule(seconds=st.integers(1, 20))
@@ -102,59 +103,59 @@
         self.script.append(("wait", seconds))
 
     def teardown(self):
-        broken = run_virtual(_run, self.kind, self.script, self.states)
-        if broken:
-            raise broken
+        violation = run_virtual(_run, self.kind, self.script, self.states)
+        if violation:
+            raise violation
 
 
 async def _run(kind, script, states):
     async with MemberFleet(kind=kind) as fleet:
         try:
-            await _play(fleet, script, states)
-        except Broken as broken:
-            return broken
+            await _run_script(fleet, script, states)
+        except InvariantViolation as violation:
+            return violation
     return None
 
 
-async def _play(fleet, script, states):
+async def _run_script(fleet, script, states):
     fleet.start_all(COUNT)
     await fleet.hub.clock.sleep(10_000)
-    watch = _Watch(fleet)
+    monitor = _InvariantMonitor(fleet)
     frozen = False
     for name, *arguments in script:
         frozen = frozen or name == "freeze"
-        await _do(watch, name, arguments, frozen)
+        await _run_action(monitor, name, arguments, frozen)
     fleet.heal()
-    await watch.sleep(QUIET_MS)
-    watch.check_agreement(states)
+    await monitor.sleep(QUIET_MS)
+    monitor.check_agreement(states)
 
 
-async def _do(watch, action, arguments, frozen):
-    fleet = watch.fleet
+async def _run_action(monitor, action, arguments, frozen):
+    fleet = monitor.fleet
     match action, arguments:
         case "freeze", (name, seconds):
             fleet.hub.freeze(name)
-            watch.asleep.add(name)
-            await watch.sleep(seconds * 1000.0)
+            monitor.frozen_names.add(name)
+            await monitor.sleep(seconds * 1000.0)
             fleet.hub.wake(name)
-            watch.asleep.discard(name)
+            monitor.frozen_names.discard(name)
         case "leave", (name, calm):
             await fleet.leave(name)
             if calm and not frozen:
-                await watch.sleep(LEAVE_HEARD_MS)
-                watch.check_unlisted(name)
+                await monitor.sleep(LEAVE_SPREAD_MS)
+                monitor.check_unlisted(name)
         case "wait", (seconds,):
-            await watch.sleep(seconds * 1000.0)
+            await monitor.sleep(seconds * 1000.0)
         case _:
             getattr(fleet, action)(*arguments)
 
 
-class _Watch:
-    """Looks at every daemon each second."""
+class _InvariantMonitor:
+    """Checks the invariants at every daemon each second."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.asleep = set()
+        self.frozen_names = set()
         self.sent = {}
         self.seconds = 0
         self.total = 0
@@ -162,9 +163,9 @@
     async def sleep(self, duration_ms):
         for _ in range(int(duration_ms // 1000)):
             await self.fleet.hub.clock.sleep(1000)
-            self._look()
+            self._check()
 
-    def _look(self):
+    def _check(self):
         for name, daemon in self.fleet.daemons.items():
             sent = daemon.traffic.messages_sent
             key = (name, id(daemon))
@@ -172,26 +173,36 @@
             self.sent[key] = sent
             self.total += increase
             self.seconds += 1
-            if increase > MOST_MESSAGES_A_SECOND:
-                raise Broken(f"{name} sent {increase} messages in a second")
-            if name not in self.asleep and not self.fleet.listed(name):
-                raise Broken(f"{name} gives no address")
+            if increase > MAX_MESSAGES_PER_SECOND:
+                raise InvariantViolation(
+                    f"{name} sent {increase} messages in a second"
+                )
+            if name not in self.frozen_names and not self.fleet.listed(name):
+                raise InvariantViolation(f"{name} lists no address")
             present = [m for m in daemon.members.all() if m.state != "leaving"]
             if 2 * len(self.fleet.listed(name)) < len(present):
-                raise Broken(f"{name} gives few of the addresses it knows")
+                raise InvariantViolation(
+                    f"{name} lists less than half of the daemons it knows"
+                )
 
     def check_unlisted(self, leaving):
         for name in self.fleet.daemons:
             if leaving in self.fleet.listed(name):
-                raise Broken(f"{name} still lists {leaving}, which leaves")
+                raise InvariantViolation(
+                    f"{name} still lists {leaving}, which is leaving"
+                )
 
     def check_agreement(self, states):
         live = {n for n, s in states.items() if s == "live"}
         present = live | {n for n, s in states.items() if s == "leaving"}
         for name in sorted(present):
             if self.fleet.known(name) != present:
-                raise Broken(f"{name} knows {sorted(self.fleet.known(name))}")
+                raise InvariantViolation(
+                    f"{name} knows {sorted(self.fleet.known(name))}"
+                )
             if self.fleet.listed(name) != live:
-                raise Broken(f"{name} lists {sorted(self.fleet.listed(name))}")
-        if self.total > MEAN_MESSAGES_A_SECOND * self.seconds:
-            raise Broken("more messages than are allowed on average")
+                raise InvariantViolation(
+                    f"{name} lists {sorted(self.fleet.listed(name))}"
+                )
+        if self.total > MAX_MEAN_MESSAGES_PER_SECOND * self.seconds:
+            raise InvariantViolation("mean message rate exceeds the limit")
