--- a/cactusdyke/membership/table.py
+++ b/cactusdyke/membership/table.py
@@ -201,16 +201,16 @@
             if bucket_of(member.name) in wanted
         ]
 
-    def _merge_own(self, news: Member) -> None:
+    def _merge_own(self, update: Member) -> None:
         # If the clock was set back, updates from an earlier run of this
         # daemon may have a higher incarnation than the one from the clock.
-        wrong = news.state is not self._own.state or (
-            news.address != self._own.address
+        differs = update.state is not self._own.state or (
+            update.address != self._own.address
         )
-        if news.incarnation > self._own.incarnation or (
-            news.incarnation == self._own.incarnation and wrong
+        if update.incarnation > self._own.incarnation or (
+            update.incarnation == self._own.incarnation and differs
         ):
-            self._own = attrs.evolve(self._own, incarnation=news.incarnation)
+            self._own = attrs.evolve(self._own, incarnation=update.incarnation)
             self.refute()
 
     def _store(self, member: Member) -> None:
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -353,11 +353,11 @@
 
 
 @then(
-    "in membership no daemon sends more than {most:d} messages"
+    "in membership no daemon sends more than {max_messages:d} messages"
     " in any second of the merge"
 )
-def then_no_burst(context, most):
-    assert 0 < context.max_messages <= most, context.max_messages
+def then_no_burst(context, max_messages):
+    assert 0 < context.max_messages <= max_messages, context.max_messages
 
 
 @then("in membership no daemon lists {name} after 1 second")
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -13,7 +13,7 @@
 from features.support.deployment import Deployment
 from standins.virtual import run_virtual
 
-UNAUTHORIZED = "unauthorized:1"
+UNAUTHORIZED = "stranger:1"
 
 
 def _fetch(context, request):
@@ -22,15 +22,15 @@
             await deployment.start_daemons(context.daemon_count)
             await deployment.hub.clock.sleep(5_000)
             context.linger_ms = deployment.linger_ms
-            network = deployment.hub.network("unauthorized")
+            network = deployment.hub.network("stranger")
             answer = await network.fetch("entry-1:1", request, CallOptions())
             context.answer = answer.unwrap()
-            asked = await network.fetch(
+            listed_answer = await network.fetch(
                 "entry-1:1",
                 Request(method="GET", path="/v1/addresses"),
                 CallOptions(),
             )
-            context.addresses = orjson.loads(asked.unwrap().body)
+            context.addresses = orjson.loads(listed_answer.unwrap().body)
             own = deployment.daemons["entry-2"].network
             real = await own.fetch("entry-1:1", request, CallOptions())
             context.with_token = real.unwrap().status
@@ -87,7 +87,7 @@
 
 
 @then("no caller is given the address of the unauthorized host")
-def then_not_told(context):
+def then_not_given(context):
     listed = [a["address"] for a in context.addresses["addresses"]]
     assert sorted(listed) == ["entry-1:1", "entry-2:1", "entry-3:1"]
 
