--- a/cactusdyke/load/departures.py
+++ b/cactusdyke/load/departures.py
@@ -12,8 +12,8 @@
 from cactusdyke.infrastructure.host_list import HostState
 from cactusdyke.kernel import Service
 from cactusdyke.load.replicas import rank
+from cactusdyke.membership.attachments import Attachment
 from cactusdyke.membership.member import MemberState
-from cactusdyke.membership.riders import Rider
 
 if TYPE_CHECKING:
     import random
@@ -43,7 +43,7 @@
     sends_left: int = MAX_SENDS
 
 
-class Departures(Service, Rider):
+class Departures(Service, Attachment):
     """Combines the host list, refusals, load answers and peers' reports.
 
     The host list lags by seconds, so the first refusal or load answer is
@@ -72,7 +72,7 @@
         self._configuration = configuration
         self._leaving: dict[str, _Departure] = {}
         self._list_read_at: Instant = -math.inf
-        members.ride("leaving", self)
+        members.attach("leaving", self)
 
     def mark_leaving(self, name: str) -> None:
         """Records a leaving backend server and notifies other daemons."""
@@ -122,7 +122,7 @@
         self._leaving[name] = _Departure(confirmed_at=confirmed_at)
         self._router.mark_leaving(name)
         if known is None:
-            self._members.hurry()
+            self._members.request_urgent_update()
 
     def _drop_expired(self) -> None:
         oldest = self._clock.now() - DEPARTURE_LIFETIME_MS
--- a/cactusdyke/membership/control_client.py
+++ b/cactusdyke/membership/control_client.py
@@ -1,4 +1,4 @@
-"""Calls between daemons, counted as what control costs."""
+"""Control calls between daemons, with counts of messages and bytes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from cactusdyke.transport.network import Network
 
 HEADER_BYTES = 120
-"""About what the head of a small request or answer takes."""
+"""Estimated size of the HTTP head of a small request or answer."""
 
 
 class ControlTraffic(Service):
-    """Counts control messages and bytes, by kind and direction."""
+    """Counts control messages and bytes sent, by kind of message."""
 
     def __init__(self, registry: prometheus_client.CollectorRegistry) -> None:
         self._messages = prometheus_client.Counter(
@@ -41,19 +41,19 @@
         self.messages_sent = 0
         self.bytes_sent = 0
 
-    def sent(self, kind: str, body: bytes) -> None:
-        """Counts a message."""
+    def count_message(self, kind: str, body: bytes) -> None:
+        """Counts a message and its bytes."""
         self.messages_sent += 1
         self._by_kind[kind] += 1
         self._messages.labels(kind).inc()
         self._count_bytes(kind, body)
 
-    def sent_of(self, kind: str) -> int:
+    def messages_of(self, kind: str) -> int:
         """Returns how many messages of a kind were sent."""
         return self._by_kind[kind]
 
-    def answered(self, body: bytes) -> None:
-        """Counts an answer."""
+    def count_answer(self, body: bytes) -> None:
+        """Counts the bytes of an answer."""
         self._count_bytes("answer", body)
 
     def _count_bytes(self, kind: str, body: bytes) -> None:
@@ -78,7 +78,7 @@
         *,
         timeout_ms: float,
     ) -> Result[dict[str, Any], Failure]:
-        """Posts an object and returns the object that answers it."""
+        """Posts a JSON object and returns the JSON object of the answer."""
         request = Request(
             method="POST",
             path=path,
@@ -90,14 +90,14 @@
     async def get(
         self, kind: str, address: str, path: str, *, timeout_ms: float
     ) -> Result[dict[str, Any], Failure]:
-        """Reads an object."""
+        """Gets a JSON object."""
         request = Request(method="GET", path=path)
         return await self._call(kind, address, request, timeout_ms)
 
     async def _call(
         self, kind: str, address: str, request: Request, timeout_ms: float
     ) -> Result[dict[str, Any], Failure]:
-        self._traffic.sent(kind, request.body)
+        self._traffic.count_message(kind, request.body)
         options = CallOptions(
             connect_timeout_ms=timeout_ms, progress_timeout_ms=timeout_ms
         )
--- a/cactusdyke/membership/prober.py
+++ b/cactusdyke/membership/prober.py
@@ -1,4 +1,4 @@
-"""Finds out which daemons answer, and doubts itself first."""
+"""Failure detector that considers a fault of its own daemon first."""
 
 from __future__ import annotations
 
@@ -15,52 +15,53 @@
     from cactusdyke.membership.exchange import Exchange
     from cactusdyke.membership.member import Member
     from cactusdyke.membership.messages import Gossip
-    from cactusdyke.membership.rounds import Rounds
+    from cactusdyke.membership.probe_schedule import ProbeSchedule
     from cactusdyke.membership.table import MemberTable
 
 PROBE_TIMEOUT_MS = 500.0
-ASK_TIMEOUT_MS = 1_000.0
-PAUSE_MS = 1_000.0
-MAX_DOUBT = 3
+INDIRECT_PROBE_CALL_TIMEOUT_MS = 1_000.0
+MIN_PAUSE_MS = 1_000.0
+MAX_SELF_SUSPICION = 3
 
 
 class Prober:
-    """Probes one daemon at a time, through others where it doesn't answer.
+    """Probes one daemon at a time, and indirectly if it does not answer.
 
-    The doubt about this daemon itself grows with each probe that neither the
-    target nor any helper answered, and lengthens the time-outs.
+    The suspicion that this daemon itself is at fault grows with each probe
+    that neither the target nor any helper answers. It lengthens the time-out
+    of direct probes.
     """
 
     def __init__(
         self,
         *,
         table: MemberTable,
-        rounds: Rounds,
+        schedule: ProbeSchedule,
         exchange: Exchange,
         clock: Clock,
     ) -> None:
         self._table = table
-        self._rounds = rounds
+        self._schedule = schedule
         self._exchange = exchange
         self._clock = clock
-        self._doubt = 0
+        self._self_suspicion = 0
 
     @property
-    def alone(self) -> bool:
-        """Whether nobody has answered for several probes."""
-        return self._doubt >= MAX_DOUBT
-
-    def paused(self) -> None:
-        """Notes that this daemon itself stood still."""
-        # A frozen daemon wakes with probes out of time and suspicions run
-        # out, and would declare half the fleet dead (seen as a burst of
-        # contradictions). Nobody can have answered it while it stood still.
-        self._table.forgive()
+    def isolated(self) -> bool:
+        """Whether several probes have gone without any answer."""
+        return self._self_suspicion >= MAX_SELF_SUSPICION
+
+    def on_pause(self) -> None:
+        """Restarts all suspicion timers after a pause of this process."""
+        # After a pause, probes and suspicion timers have expired, and the
+        # daemon would declare half the fleet dead (seen as a burst of
+        # refutations). No answer can arrive while the process is paused.
+        self._table.restart_suspicion_timers()
         events.log(events.Event.DAEMON_PAUSED, daemon=self._table.own.name)
 
     async def probe(self, member: Member) -> Gossip | None:
         """Probes a daemon and returns its answer, or None."""
-        timeout_ms = PROBE_TIMEOUT_MS * (1 + self._doubt)
+        timeout_ms = PROBE_TIMEOUT_MS * (1 + self._self_suspicion)
         began = self._clock.now()
         answer = await self._exchange.send(
             GossipKind.PROBE,
@@ -69,25 +70,25 @@
             timeout_ms=timeout_ms,
         )
         if isinstance(answer, Ok):
-            self._answered()
+            self._on_answer()
             if answer.ok_value.sender.name != member.name:
-                # Another daemon has taken the address: its host was replaced.
-                self._table.bury(member.name)
+                # The host was replaced: another daemon has this address now.
+                self._table.mark_dead(member.name)
             return answer.ok_value
-        if not self._overslept(began, 2 * timeout_ms):
-            await self._ask_others(member)
+        if not self._was_paused(began, 2 * timeout_ms):
+            await self._probe_indirectly(member)
         return None
 
-    async def _ask_others(self, member: Member) -> None:
-        helpers = self._rounds.helpers(member)
+    async def _probe_indirectly(self, member: Member) -> None:
+        helpers = self._schedule.helpers(member)
         answers: list[bool] = []
 
-        async def ask(helper: Member) -> None:
+        async def probe_through(helper: Member) -> None:
             answer = await self._exchange.send(
                 GossipKind.ASK,
                 helper.address,
                 receiver=helper,
-                timeout_ms=ASK_TIMEOUT_MS,
+                timeout_ms=INDIRECT_PROBE_CALL_TIMEOUT_MS,
                 target=member.address,
             )
             if not isinstance(answer, Err):
@@ -96,28 +97,30 @@
         began = self._clock.now()
         async with anyio.create_task_group() as tasks:
             for helper in helpers:
-                tasks.start_soon(ask, helper)
-        if self._overslept(began, 2 * ASK_TIMEOUT_MS) or any(answers):
+                tasks.start_soon(probe_through, helper)
+        if self._was_paused(began, 2 * INDIRECT_PROBE_CALL_TIMEOUT_MS) or any(
+            answers
+        ):
             return
         if answers:
-            self._answered()
-        elif helpers and not self.alone:
-            # Neither the target nor anybody else answered: this daemon's own
-            # way out is the likelier fault.
-            self._doubt += 1
+            self._on_answer()
+        elif helpers and not self.isolated:
+            # Neither the target nor any helper answered: a fault of this
+            # daemon's own network is more likely.
+            self._self_suspicion += 1
             return
         self._table.suspect(member.name)
 
-    def _answered(self) -> None:
-        if self.alone:
-            # What a daemon thought of others while nobody answered it is
-            # worth nothing. If it spread that, each of them would have to
-            # contradict. It learns the table anew instead.
-            self._table.forget_verdicts()
-        self._doubt = max(0, self._doubt - 1)
-
-    def _overslept(self, began: Instant, allowed_ms: float) -> bool:
-        late = self._clock.now() - began > allowed_ms + PAUSE_MS
-        if late:
-            self.paused()
-        return late
+    def _on_answer(self) -> None:
+        if self.isolated:
+            # Suspicions that arose while this daemon was isolated are
+            # unreliable. If they spread, each suspected daemon would have to
+            # refute them. The entries are fetched again instead.
+            self._table.forget_unreachable()
+        self._self_suspicion = max(0, self._self_suspicion - 1)
+
+    def _was_paused(self, began: Instant, allowed_ms: float) -> bool:
+        paused = self._clock.now() - began > allowed_ms + MIN_PAUSE_MS
+        if paused:
+            self.on_pause()
+        return paused
--- a/cactusdyke/serving/member_view.py
+++ b/cactusdyke/serving/member_view.py
@@ -52,7 +52,7 @@
         self._cache: dict[str, tuple[Mapping[str, Any], PeerDaemon]] = {}
         self._daemons: tuple[PeerDaemon, ...] = ()
         self._valid_until: Instant = -math.inf
-        members.attach(
+        members.attach_provider(
             ATTACHMENT_KEY, self._announcement, self._record_announcement
         )
 
--- a/cactusdyke/serving/quarantine.py
+++ b/cactusdyke/serving/quarantine.py
@@ -19,7 +19,7 @@
 from cactusdyke import events
 from cactusdyke.errors import Failure, FailureKind
 from cactusdyke.kernel import Service
-from cactusdyke.membership.riders import Rider
+from cactusdyke.membership.attachments import Attachment
 from cactusdyke.serving.crash_suspects import (
     MAX_SHARED_REQUESTS,
     MIN_SHARED_CRASHES,
@@ -127,7 +127,7 @@
         return self._suspects
 
     @property
-    def attachment(self) -> Rider:
+    def attachment(self) -> Attachment:
         """Attaches the evidence for all daemons to gossip messages."""
         return _EvidenceAttachment(quarantine=self, suspects=self._suspects)
 
@@ -374,7 +374,7 @@
         return accepted
 
 
-class _EvidenceAttachment(Rider):
+class _EvidenceAttachment(Attachment):
     """Sends each daemon the evidence once, and again after each change.
 
     This reaches daemons that started later, or were frozen or unreachable when
--- a/emulator/daemons.py
+++ b/emulator/daemons.py
@@ -231,7 +231,7 @@
             metrics=ServingMetrics(registry),
             tracing=Tracing(daemon=self.name, kept=KEPT_SPANS),
         )
-        members.ride("crashes", core.quarantine.attachment)
+        members.attach("crashes", core.quarantine.attachment)
         for evidence in world.saved.values():
             core.quarantine.merge(evidence)
         core.quarantine.mark_loaded()
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -82,7 +82,7 @@
 
 
 def _read_count(daemon):
-    return daemon.traffic.sent_of("load")
+    return daemon.traffic.messages_of("load")
 
 
 @then("the load tracker of {name} has the load that {replica} reported")
