--- a/features/steps/daemon_steps.py
+++ b/features/steps/daemon_steps.py
@@ -117,7 +117,7 @@
 
     known_count = 6
 
-    def attach(self, key, provider, reader):
+    def attach_provider(self, key, provider, reader):
         pass
 
 
--- a/features/steps/deciders_steps.py
+++ b/features/steps/deciders_steps.py
@@ -384,7 +384,7 @@
     def own(self):
         return self._member("d0")
 
-    def attach(self, key, provider, reader):
+    def attach_provider(self, key, provider, reader):
         del key, provider
         for name in self.names:
             reader(name, {"a": f"{name}:2", "r": 1, "s": 1})
--- a/features/steps/member_view_steps.py
+++ b/features/steps/member_view_steps.py
@@ -46,7 +46,7 @@
     def serving(self):
         return tuple(self.members.values())
 
-    def attach(self, key, provider, reader):
+    def attach_provider(self, key, provider, reader):
         self.announce = reader
 
 
